--- a/src/engine/call/common/answers.ts
+++ b/src/engine/call/common/answers.ts
@@ -35,7 +35,7 @@
 }
 
 /** When to come back after a "not run" that says no time of its own. */
-const RETRY_AFTER_MS = 1_000;
+const DEFAULT_RETRY_AFTER_MS = 1_000;
 
 /** Creates the answer effect of one exchange. */
 export function createAnswer(
@@ -44,7 +44,7 @@
   signals: Omit<AnswerSignals, "outcome"> = {},
 ): AnswerCall {
   const { outcome } = answer;
-  const retryAfterMs = answer.retryAfterMs ?? findRetryAfter(answer);
+  const retryAfterMs = answer.retryAfterMs ?? getDefaultRetryAfter(answer);
   const headers = createSignalHeaders({ ...signals, outcome });
   const retryAfter = retryAfterMs === undefined
     ? {}
@@ -59,8 +59,12 @@
 }
 
 /** A "not run" that a later try may change says when to come back. */
-function findRetryAfter({ outcome, status }: OwnAnswer): number | undefined {
-  return outcome === "not-run" && status >= 500 ? RETRY_AFTER_MS : undefined;
+function getDefaultRetryAfter(
+  { outcome, status }: OwnAnswer,
+): number | undefined {
+  return outcome === "not-run" && status >= 500
+    ? DEFAULT_RETRY_AFTER_MS
+    : undefined;
 }
 
 /** Writes signals as headers. */
--- a/src/engine/call/common/call_level.ts
+++ b/src/engine/call/common/call_level.ts
@@ -15,10 +15,10 @@
 
 /** A kind that isn't called for so long is no longer counted as called. */
 export const CALLEE_TTL_MS = 10_000;
-const RENEW_MS = 1_000;
+const CALLEE_RENEWAL_MS = 1_000;
 
 /** Notes that the local backend server calls `callee` to serve `kind`. */
-export function noteCallee(
+export function recordCallee(
   state: NodeState,
   call: { readonly kind: string; readonly callee: string },
   nowMs: number,
@@ -26,7 +26,7 @@
   const { kind, callee } = call;
   const called = state.callees.get(kind) ?? new Map<string, number>();
   const expiresAtMs = nowMs + CALLEE_TTL_MS;
-  if ((called.get(callee) ?? 0) > expiresAtMs - RENEW_MS) {
+  if ((called.get(callee) ?? 0) > expiresAtMs - CALLEE_RENEWAL_MS) {
     return state;
   }
   const renewed = setEntry(called, callee, expiresAtMs);
@@ -39,7 +39,7 @@
  * node's admission and of the services called for the kind. So a root request
  * that is shed deep in a chain is refused before work goes into it.
  */
-export function quoteLevel(
+export function computeReportedLevel(
   state: NodeState,
   kind: string,
   nowMs: number,
@@ -81,7 +81,7 @@
   const levels = service === state.self.service
     ? noteLevel(
       state.levels,
-      { nodeId, kind, level: quoteLevel(state, kind, nowMs) },
+      { nodeId, kind, level: computeReportedLevel(state, kind, nowMs) },
       nowMs,
     )
     : state.levels;
--- a/src/engine/call/common/claim_steps.ts
+++ b/src/engine/call/common/claim_steps.ts
@@ -18,14 +18,14 @@
 
 type Step = Reduction<NodeState, NodeEffect>;
 
-const NO_HOLDERS_RETRY_MS = 1_000;
+const HOLDERS_UNKNOWN_RETRY_MS = 1_000;
 
 /** Answer to a request whose service has no holders yet. */
-export const NO_HOLDERS: OwnAnswer = {
+export const HOLDERS_UNKNOWN: OwnAnswer = {
   status: 503,
   outcome: "not-run",
   message: "Holders of idempotency keys are not known yet",
-  retryAfterMs: NO_HOLDERS_RETRY_MS,
+  retryAfterMs: HOLDERS_UNKNOWN_RETRY_MS,
 };
 
 /** Checks a request's key against its row; undefined where it will do. */
@@ -80,7 +80,7 @@
 }
 
 /** The backend server saw nothing of an attempt: its claim is given back. */
-export function withdrawServed(state: NodeState, attemptId: string): Step {
+export function withdrawServedClaim(state: NodeState, attemptId: string): Step {
   const { claims } = state;
   return applyClaims(
     state,
@@ -96,7 +96,7 @@
     return createReduction(state);
   }
   if (coordination.phase !== "running") {
-    return withdrawServed(state, attemptId);
+    return withdrawServedClaim(state, attemptId);
   }
   const own = forgetRun(claims.own, attemptId);
   return createReduction({ ...state, claims: { ...claims, own } });
--- a/src/engine/call/common/crash_steps.ts
+++ b/src/engine/call/common/crash_steps.ts
@@ -13,41 +13,48 @@
 import type { QuarantineReply } from "../../quarantine/common/quarantine_messages.ts";
 import type { Fingerprint } from "../../quarantine/common/quarantine_reducer.ts";
 import type { NodeEffect } from "./call_events.ts";
-import { withdrawServed } from "./claim_steps.ts";
+import { withdrawServedClaim } from "./claim_steps.ts";
 import type { NodeState, ServedCall } from "./node_state.ts";
-import { CHECK_PREFIX, noteCrash, takeChecked } from "./quarantine_ledger.ts";
 import {
-  createAsk,
-  createBusy,
-  createQuarantined,
+  applyClearedSuspects,
+  CHECK_PREFIX,
+  recordCrash,
+} from "./quarantine_ledger.ts";
+import {
+  applyEndReply,
+  createBusyAnswer,
+  createPeerRequest,
+  createQuarantinedAnswer,
   END_PREFIX,
   endLease,
   LEASE_PREFIX,
   listPeers,
-  NO_OWNER,
+  OWNER_UNAVAILABLE,
   putLease,
   putQuarantine,
-  takeEndReply,
 } from "./quarantine_steps.ts";
 import { failServed } from "./served_reducer.ts";
 import { isUnsent, refuseServed, sendServed } from "./served_steps.ts";
 import type { NodeStep, ServedDeps } from "./served_types.ts";
 
 /** Ends a served attempt whose failure was held; passed in by the node. */
-export type SettleHeld = (state: NodeState, held: HeldFailure) => NodeStep;
+export type SettleHeldFailure = (
+  state: NodeState,
+  held: HeldFailure,
+) => NodeStep;
 
-const TELL_PREFIX = `${QUARANTINE_PREFIX}tell/`;
+const CRASH_NOTICE_PREFIX = `${QUARANTINE_PREFIX}tell/`;
 /** Resets at once that show a crash, though the backend server is back. */
-const MIN_RESETS = 2;
+const MIN_SIMULTANEOUS_RESETS = 2;
 /** Most nodes that are told of suspects. */
-const MAX_TOLD = 1_000;
+const MAX_NOTIFIED_PEERS = 1_000;
 
 /**
  * An attempt failed at the local backend server. One that was sent is held
  * until it is clear whether the backend server died, and until its other
  * nodes know: whoever resends it then meets nodes that have been told.
  */
-export function takeFailure(
+export function receiveFailure(
   state: NodeState,
   failure: {
     readonly attemptId: string;
@@ -61,7 +68,7 @@
   const isJudged = state.quarantine.watch === undefined &&
     state.quarantine.lastJudged.has(attemptId);
   if (isSent && !isJudged) {
-    return keepFailure(state, { attemptId, reason, isReset, isCut: false });
+    return retainFailure(state, { attemptId, reason, isReset, isCut: false });
   }
   const { nowMs } = deps;
   return chainReduction(
@@ -71,10 +78,13 @@
 }
 
 /** Holds the end of an attempt until it is clear whether it was a crash. */
-export function keepFailure(state: NodeState, failure: HeldFailure): NodeStep {
+export function retainFailure(
+  state: NodeState,
+  failure: HeldFailure,
+): NodeStep {
   const { watch } = state.quarantine;
   if (watch === undefined) {
-    return startWatch(state, [failure]);
+    return startCrashWatch(state, [failure]);
   }
   const held = [...watch.held, failure];
   return createReduction(
@@ -83,20 +93,20 @@
 }
 
 /** The backend server was probed: all that ran is suspect, or nothing is. */
-export function takeProbe(
+export function applyProbe(
   state: NodeState,
   isAlive: boolean,
-  settle: SettleHeld,
+  settle: SettleHeldFailure,
   deps: ServedDeps,
 ): NodeStep {
   const { watch } = state.quarantine;
   if (watch === undefined || watch.judged !== undefined) {
     return createReduction(state);
   }
-  if (!isAlive || isAllReset(state, watch)) {
+  if (!isAlive || isEveryRunReset(state, watch)) {
     return chainReduction(
       reportCrash(state, watch, deps.nowMs),
-      (next) => settleTold(next, settle),
+      (next) => settleNotified(next, settle),
     );
   }
   const freed = watch.held.reduce<NodeStep>(
@@ -107,33 +117,33 @@
       ),
     createReduction(state),
   );
-  return chainReduction(freed, (next) => settleAll(next, settle));
+  return chainReduction(freed, (next) => settleHeldFailures(next, settle));
 }
 
 /** Another node replied to a question or message about suspects. */
-export function takeQuarantineReply(
+export function receiveQuarantineReply(
   state: NodeState,
   replied: {
     readonly requestId: string;
     readonly reply: QuarantineReply | undefined;
   },
-  settle: SettleHeld,
+  settle: SettleHeldFailure,
   deps: ServedDeps,
 ): NodeStep {
   const { requestId, reply } = replied;
   if (requestId.startsWith(LEASE_PREFIX)) {
     const attemptId = requestId.slice(LEASE_PREFIX.length);
-    return takeLease(state, attemptId, reply, deps);
+    return applyLeaseReply(state, attemptId, reply, deps);
   }
   if (requestId.startsWith(END_PREFIX)) {
     const attemptId = requestId.slice(END_PREFIX.length);
     const isTold = reply !== undefined;
-    return createReduction(takeEndReply(state, attemptId, isTold));
+    return createReduction(applyEndReply(state, attemptId, isTold));
   }
   if (requestId.startsWith(CHECK_PREFIX)) {
     return createReduction(
       reply?.type === "SuspectsChecked"
-        ? takeChecked(state, reply.cleared, deps.nowMs)
+        ? applyClearedSuspects(state, reply.cleared, deps.nowMs)
         : state,
     );
   }
@@ -144,10 +154,10 @@
   const untold = new Set(watch.untold);
   untold.delete(requestId);
   const next = putQuarantine(state, { watch: { ...watch, untold } });
-  return settleTold(next, settle);
+  return settleNotified(next, settle);
 }
 
-function takeLease(
+function applyLeaseReply(
   state: NodeState,
   attemptId: string,
   reply: QuarantineReply | undefined,
@@ -174,8 +184,8 @@
   if (reply?.type === "RunRefused") {
     const leases = deleteEntry(state.quarantine.leases, attemptId);
     const answer = reply.reason === "quarantined"
-      ? createQuarantined(reply.retryAfterMs)
-      : createBusy(reply.retryAfterMs);
+      ? createQuarantinedAnswer(reply.retryAfterMs)
+      : createBusyAnswer(reply.retryAfterMs);
     return refuseSuspect(putQuarantine(state, { leases }), {
       call,
       answer,
@@ -186,7 +196,7 @@
   const known = putLease(state, attemptId, { ...lease, leaseId });
   return chainReduction(
     endLease(known, attemptId, { isWhole: false, nowMs }),
-    (next) => refuseSuspect(next, { call, answer: NO_OWNER }, deps),
+    (next) => refuseSuspect(next, { call, answer: OWNER_UNAVAILABLE }, deps),
   );
 }
 
@@ -194,7 +204,7 @@
   state: NodeState,
   refused: {
     readonly call: ServedCall | undefined;
-    readonly answer: typeof NO_OWNER;
+    readonly answer: typeof OWNER_UNAVAILABLE;
   },
   deps: ServedDeps,
 ): NodeStep {
@@ -204,12 +214,12 @@
   }
   const { attemptId } = call;
   return chainReduction(
-    withdrawServed(state, attemptId),
+    withdrawServedClaim(state, attemptId),
     (next) => refuseServed(next, attemptId, answer, deps),
   );
 }
 
-function startWatch(
+function startCrashWatch(
   state: NodeState,
   held: readonly HeldFailure[],
 ): NodeStep {
@@ -220,15 +230,15 @@
 }
 
 /** Whether all that ran was reset at once: a process that is back already. */
-function isAllReset(state: NodeState, watch: CrashWatch): boolean {
+function isEveryRunReset(state: NodeState, watch: CrashWatch): boolean {
   const failed = new Set(watch.held.map(({ attemptId }) => attemptId));
-  return failed.size >= MIN_RESETS &&
+  return failed.size >= MIN_SIMULTANEOUS_RESETS &&
     watch.held.every(({ isReset }) => isReset) &&
-    listSent(state).every(({ attemptId }) => failed.has(attemptId));
+    listInFlight(state).every(({ attemptId }) => failed.has(attemptId));
 }
 
 /** Lists the attempts that the backend server has seen and not ended. */
-function listSent(state: NodeState): readonly ServedCall[] {
+function listInFlight(state: NodeState): readonly ServedCall[] {
   const { lastJudged } = state.quarantine;
   return [...state.served.values()].filter((call) =>
     !isUnsent(state, call) && !lastJudged.has(call.attemptId)
@@ -241,7 +251,7 @@
   nowMs: number,
 ): NodeStep {
   const { known, leases, abandoned, nextTell } = state.quarantine;
-  const sent = listSent(state);
+  const sent = listInFlight(state);
   const fingerprints = [
     ...new Set(
       [...sent, ...abandoned.filter((run) => run.untilMs > nowMs)]
@@ -254,8 +264,10 @@
   const { nodeId } = state.self;
   const peers = listPeers(state)
     .filter((peer) => peer.nodeId !== nodeId)
-    .slice(0, MAX_TOLD);
-  const ids = peers.map((peer) => `${TELL_PREFIX}${nextTell}/${peer.nodeId}`);
+    .slice(0, MAX_NOTIFIED_PEERS);
+  const ids = peers.map((peer) =>
+    `${CRASH_NOTICE_PREFIX}${nextTell}/${peer.nodeId}`
+  );
   const crash = { nodeId, fingerprints, guilty };
   const over = [...leases].filter(([, { phase }]) =>
     phase !== "running" && phase !== "lingering"
@@ -275,14 +287,17 @@
       event: event as { type: "BackendCrashed"; suspects: number },
     },
     ...peers.map((peer, index) =>
-      createAsk(ids[index]!, peer.ingress, { type: "TellSuspects", ...crash })
+      createPeerRequest(ids[index]!, peer.ingress, {
+        type: "TellSuspects",
+        ...crash,
+      })
     ),
   ];
-  return appendEffects(noteCrash(next, crash, nowMs), ...effects);
+  return appendEffects(recordCrash(next, crash, nowMs), ...effects);
 }
 
 /** Once all nodes have been told, whoever waits for an answer gets one. */
-function settleTold(state: NodeState, settle: SettleHeld): NodeStep {
+function settleNotified(state: NodeState, settle: SettleHeldFailure): NodeStep {
   const { watch } = state.quarantine;
   if (watch === undefined || watch.untold.size > 0) {
     return createReduction(state);
@@ -293,13 +308,16 @@
   const later = watch.held.filter(isNew);
   const held = watch.held.filter((failure) => !isNew(failure));
   const rest = putQuarantine(state, { watch: { ...watch, held } });
-  const settled = settleAll(rest, settle);
+  const settled = settleHeldFailures(rest, settle);
   return later.length === 0
     ? settled
-    : chainReduction(settled, (next) => startWatch(next, later));
+    : chainReduction(settled, (next) => startCrashWatch(next, later));
 }
 
-function settleAll(state: NodeState, settle: SettleHeld): NodeStep {
+function settleHeldFailures(
+  state: NodeState,
+  settle: SettleHeldFailure,
+): NodeStep {
   const held = state.quarantine.watch?.held ?? [];
   const done = putQuarantine(state, { watch: undefined });
   return held.reduce<NodeStep>(
--- a/src/engine/call/common/downstream_time.ts
+++ b/src/engine/call/common/downstream_time.ts
@@ -5,7 +5,7 @@
  * Notes which served attempts began or ended to wait for calls of their own
  * in a step of the node. Calls made at once count once.
  */
-export function noteDownstream(
+export function updateDownstreamTime(
   before: NodeState,
   after: NodeState,
   nowMs: number,
--- a/src/engine/call/common/entry_ask.ts
+++ b/src/engine/call/common/entry_ask.ts
@@ -10,20 +10,20 @@
 import type { NodeStep } from "./served_types.ts";
 
 /** An attempt without a head is asked about after this spell. */
-export const QUIET_MS = 1_000;
+export const STATUS_DELAY_MS = 1_000;
 /** Part of a kind's timeout after which it is asked about, where shorter. */
-const QUIET_SHARE = 1 / 3;
+const STATUS_DELAY_RATIO = 1 / 3;
 /** Part of its spell after which an attempt goes along in a question. */
-const COMPANION_SHARE = 1 / 2;
+const BATCHED_STATUS_RATIO = 1 / 2;
 /** Most attempts in one question. */
-const MAX_ASKED = 512;
+const MAX_ATTEMPTS_PER_REQUEST = 512;
 /** Begins the request ids of these questions; attempt ids follow. */
-const ASK_PREFIX = "attempts:";
+const STATUS_REQUEST_PREFIX = "attempts:";
 /** Parts the attempt ids: no id has one. */
 const ID_SEPARATOR = ",";
 
 /** Marks an attempt as asked about, and asks on a new connection. */
-export function suspectAttempt(
+export function requestAttemptStatus(
   state: NodeState,
   exchangeId: string,
   change: Partial<Attempt>,
@@ -32,10 +32,10 @@
   const call = state.entries.get(exchangeId)!;
   const current = call.attempt ?? call.relayed!;
   const attempt: Attempt = { ...current, ...change, isAsked: true };
-  const next = putAttempt(state, call, attempt);
+  const next = replaceAttempt(state, call, attempt);
   return current.isAsked
     ? createReduction(next)
-    : createReduction(next, [createAsk([attempt], nowMs)]);
+    : createReduction(next, [createStatusRequest([attempt], nowMs)]);
 }
 
 /**
@@ -43,21 +43,24 @@
  * to each receiver. Those that have been quiet for half of it go along, so
  * that a slow receiver is not asked more than twice in a spell.
  */
-export function watchAttempts(state: NodeState, nowMs: number): NodeStep {
+export function detectStalledAttempts(
+  state: NodeState,
+  nowMs: number,
+): NodeStep {
   const calls = [...state.entries.values()];
-  const quiet = calls.filter((call) => isQuiet(state, call, nowMs, 1));
+  const quiet = calls.filter((call) => isStatusDue(state, call, nowMs, 1));
   if (quiet.length === 0) {
     return createReduction(state);
   }
   const receivers = new Set(quiet.map((call) => formatReceiver(call.attempt!)));
   const asked = calls.filter((call) =>
-    isQuiet(state, call, nowMs, COMPANION_SHARE) &&
+    isStatusDue(state, call, nowMs, BATCHED_STATUS_RATIO) &&
     receivers.has(formatReceiver(call.attempt!))
   );
-  return suspectTogether(state, asked, nowMs);
+  return requestStatuses(state, asked, nowMs);
 }
 
-function suspectTogether(
+function requestStatuses(
   state: NodeState,
   calls: readonly EntryCall[],
   nowMs: number,
@@ -68,17 +71,19 @@
     const attempt: Attempt = { ...call.attempt!, isAsked: true };
     const name = formatReceiver(attempt);
     const group = groups.get(name) ?? [];
-    if (group.length < MAX_ASKED) {
+    if (group.length < MAX_ATTEMPTS_PER_REQUEST) {
       groups.set(name, [...group, attempt]);
-      next = putAttempt(next, call, attempt);
+      next = replaceAttempt(next, call, attempt);
     }
   }
-  const asks = [...groups.values()].map((group) => createAsk(group, nowMs));
+  const asks = [...groups.values()].map((group) =>
+    createStatusRequest(group, nowMs)
+  );
   return createReduction(next, asks);
 }
 
 /** Replaces the attempt that a call waits for or relays. */
-export function putAttempt(
+export function replaceAttempt(
   state: NodeState,
   call: EntryCall,
   attempt: Attempt,
@@ -89,9 +94,9 @@
 }
 
 /** Returns the attempts that a question was about; none of another's. */
-export function parseAsk(requestId: string): readonly string[] {
-  return requestId.startsWith(ASK_PREFIX)
-    ? requestId.slice(ASK_PREFIX.length).split(ID_SEPARATOR)
+export function parseStatusRequestId(requestId: string): readonly string[] {
+  return requestId.startsWith(STATUS_REQUEST_PREFIX)
+    ? requestId.slice(STATUS_REQUEST_PREFIX.length).split(ID_SEPARATOR)
     : [];
 }
 
@@ -106,12 +111,12 @@
 }
 
 /** The spell after which the attempts of a call are asked about. */
-export function computeQuietMs(call: EntryCall): number {
-  return Math.min(QUIET_MS, call.row.timeoutMs * QUIET_SHARE);
+export function computeStatusDelayMs(call: EntryCall): number {
+  return Math.min(STATUS_DELAY_MS, call.row.timeoutMs * STATUS_DELAY_RATIO);
 }
 
 /** Whether an attempt has been quiet for `share` of its spell. */
-function isQuiet(
+function isStatusDue(
   state: NodeState,
   call: EntryCall,
   nowMs: number,
@@ -120,7 +125,7 @@
   const { attempt } = call;
   return attempt !== undefined && !attempt.isAsked &&
     attempt.nodeId !== state.self.nodeId &&
-    nowMs - attempt.heardAtMs >= share * computeQuietMs(call);
+    nowMs - attempt.heardAtMs >= share * computeStatusDelayMs(call);
 }
 
 /** One process at one address. */
@@ -129,7 +134,10 @@
 }
 
 /** Asks one receiver about attempts that were all sent to it. */
-function createAsk(attempts: readonly Attempt[], nowMs: number): NodeEffect {
+function createStatusRequest(
+  attempts: readonly Attempt[],
+  nowMs: number,
+): NodeEffect {
   const { address, incarnation } = attempts[0]!;
   const ids = attempts.map(({ attemptId }) => attemptId);
   const asked = attempts.map(({ attemptId, startedAtMs }) => ({
@@ -138,7 +146,7 @@
   }));
   return {
     type: "AskPeer",
-    requestId: `${ASK_PREFIX}${ids.join(ID_SEPARATOR)}`,
+    requestId: `${STATUS_REQUEST_PREFIX}${ids.join(ID_SEPARATOR)}`,
     address,
     message: { type: "FenceAttempts", incarnation, attempts: asked },
     timeoutMs: ASK_TIMEOUT_MS,
--- a/src/engine/call/common/entry_attempts.ts
+++ b/src/engine/call/common/entry_attempts.ts
@@ -16,9 +16,9 @@
 import type { CallContext, CallOutcome } from "./call_context.ts";
 import type { AttemptAnswer, NodeEffect } from "./call_events.ts";
 import { isShed } from "./call_level.ts";
-import { suspectAttempt } from "./entry_ask.ts";
+import { requestAttemptStatus } from "./entry_ask.ts";
 import { abortAttempt, cancelChildren } from "./entry_cancel.ts";
-import { canReroute, createReroute } from "./entry_reroute.ts";
+import { canReroute, recordReroute } from "./entry_reroute.ts";
 import {
   canRetry,
   canRetryUnknown,
@@ -28,7 +28,7 @@
 } from "./entry_rules.ts";
 import {
   closeEntry,
-  createEndRecord,
+  createCallEndedEffect,
   putEntry,
   reportAttempt,
   settleAttempt,
@@ -37,11 +37,11 @@
 import type { Attempt, EntryCall, NodeState } from "./node_state.ts";
 import { admitAttempt } from "./served_receive.ts";
 import { createFingerprint } from "./quarantine_steps.ts";
-import { noteService } from "./subscription_step.ts";
+import { recordServiceUse } from "./subscription_step.ts";
 import type { LocalResult, NodeStep, ServedDeps } from "./served_types.ts";
 
 /** Status of a node whose backend server did not answer. */
-const LOST_STATUS = 502;
+const BACKEND_FAILED_STATUS = 502;
 /** Chooses a backend server for the call and sends an attempt. */
 export function tryAttempt(
   before: NodeState,
@@ -50,7 +50,7 @@
 ): NodeStep {
   const call = before.entries.get(exchangeId)!;
   const { service } = call.row;
-  const state = noteService(before, service, nowMs);
+  const state = recordServiceUse(before, service, nowMs);
   if (call.deadlineMs <= nowMs) {
     return expireEntry(state, exchangeId, nowMs);
   }
@@ -112,7 +112,8 @@
     const step = createReduction<NodeState, NodeEffect>(next, [discard]);
     return chainReduction(step, (s) => rerouteEntry(s, exchangeId, nowMs));
   }
-  const isLost = outcome === "unknown" && answer.status === LOST_STATUS;
+  const isLost = outcome === "unknown" &&
+    answer.status === BACKEND_FAILED_STATUS;
   if ((isRefused || isLost) && canRetry(next, exchangeId, nowMs)) {
     const discard: NodeEffect = { type: "DiscardAnswer", attemptId };
     const step = createReduction<NodeState, NodeEffect>(next, [discard]);
@@ -137,7 +138,7 @@
     const settled = { isNotRun: !isSent, isUnsent: !isSent, reason };
     return settleFailure(state, exchangeId, settled, nowMs);
   }
-  return suspectAttempt(state, exchangeId, { isBroken: true }, nowMs);
+  return requestAttemptStatus(state, exchangeId, { isBroken: true }, nowMs);
 }
 
 /** Ends an attempt without an answer: retries, or ends the call. */
@@ -164,7 +165,7 @@
     return rerouteEntry(next, exchangeId, nowMs);
   }
   return retryOrEnd(next, exchangeId, {
-    status: isNotRun ? 503 : LOST_STATUS,
+    status: isNotRun ? 503 : BACKEND_FAILED_STATUS,
     outcome: isNotRun ? "not-run" : "unknown",
     message: `Attempt failed: ${reason}`,
   }, nowMs);
@@ -359,7 +360,7 @@
   exchangeId: string,
   nowMs: number,
 ): NodeStep {
-  return tryAttempt(createReroute(state, exchangeId), exchangeId, nowMs);
+  return tryAttempt(recordReroute(state, exchangeId), exchangeId, nowMs);
 }
 
 function relayAnswer(
@@ -383,7 +384,7 @@
   });
   return createReduction(next, [
     { type: "RelayAnswer", exchangeId, attemptId, headers },
-    createEndRecord(call, answer.status, outcome),
+    createCallEndedEffect(call, answer.status, outcome),
   ]);
 }
 
@@ -397,6 +398,6 @@
   return appendEffects(
     step,
     createAnswer(exchangeId, answer),
-    createEndRecord(call, answer.status, answer.outcome),
+    createCallEndedEffect(call, answer.status, answer.outcome),
   );
 }
--- a/src/engine/call/common/entry_cancel.ts
+++ b/src/engine/call/common/entry_cancel.ts
@@ -16,7 +16,7 @@
   deps: ServedDeps,
 ): NodeStep {
   const call = state.entries.get(exchangeId)!;
-  const attemptId = findAttempt(call);
+  const attemptId = findAttemptId(call);
   if (attemptId === undefined) {
     return createReduction(state);
   }
@@ -65,7 +65,7 @@
   );
 }
 
-function findAttempt(call: EntryCall): string | undefined {
+function findAttemptId(call: EntryCall): string | undefined {
   if (call.attempt !== undefined) {
     return call.attempt.attemptId;
   }
--- a/src/engine/call/common/entry_open.ts
+++ b/src/engine/call/common/entry_open.ts
@@ -14,7 +14,7 @@
 import { checkKey } from "./claim_steps.ts";
 import { decodeContext, MAX_DEPTH } from "./call_context.ts";
 import type { CallContext } from "./call_context.ts";
-import { noteCallee } from "./call_level.ts";
+import { recordCallee } from "./call_level.ts";
 import type { CallReceived, NodeEffect, TimerKey } from "./call_events.ts";
 import { tryAttempt } from "./entry_attempts.ts";
 import { addChild, putEntry } from "./entry_state.ts";
@@ -22,7 +22,7 @@
 import { checkResend } from "./resend_step.ts";
 import type { NodeStep } from "./served_types.ts";
 
-type Opened =
+type OpenResult =
   | {
     readonly type: "Opened";
     readonly state: NodeState;
@@ -39,7 +39,7 @@
 ): NodeStep {
   const row = selectRow(state.table, received);
   if (row === undefined) {
-    return answerUnread(state, received, {
+    return answerImmediately(state, received, {
       status: 404,
       outcome: "not-run",
       message:
@@ -48,7 +48,7 @@
     });
   }
   if ((received.bodyBytes ?? 0) > row.maxBodyBytes) {
-    return answerUnread(state, received, {
+    return answerImmediately(state, received, {
       status: 413,
       outcome: "not-run",
       message:
@@ -57,7 +57,7 @@
   }
   const refusal = checkKey(row, received.requestKey);
   if (refusal !== undefined) {
-    return answerUnread(state, received, refusal);
+    return answerImmediately(state, received, refusal);
   }
   const checked = checkResend(state, received, row, nowMs);
   return checked.refusal === undefined
@@ -72,7 +72,7 @@
   refusal: OwnAnswer,
 ): NodeStep {
   const { kind, importance } = row;
-  return appendEffects(answerUnread(state, received, refusal), {
+  return appendEffects(answerImmediately(state, received, refusal), {
     type: "RecordEvent",
     event: {
       type: "CallRefused",
@@ -98,7 +98,7 @@
     ? openRoot(state, received, row, nowMs)
     : openChild(state, received, row, nowMs);
   if (opened.type === "Rejected") {
-    return answerUnread(state, received, opened.answer);
+    return answerImmediately(state, received, opened.answer);
   }
   const { context, parentId } = opened;
   const deadlineMs = nowMs + Math.min(context.remainingMs, row.timeoutMs);
@@ -144,7 +144,7 @@
   received: CallReceived,
   row: TableRow,
   nowMs: number,
-): Opened {
+): OpenResult {
   const { exchangeId, admissionKey } = received;
   const context: CallContext = {
     rootId: exchangeId,
@@ -152,7 +152,7 @@
     importance: row.importance,
     admissionHash: computeAdmissionHash({
       key: admissionKey ?? exchangeId,
-      share: computeShare(state, row),
+      share: computeRelativeWeight(state, row),
       nowMs,
     }),
     depth: 0,
@@ -163,7 +163,7 @@
 }
 
 /** Weight of a kind over the greatest of its service and importance. */
-function computeShare(state: NodeState, row: TableRow): number {
+function computeRelativeWeight(state: NodeState, row: TableRow): number {
   const { service, importance, weight } = row;
   const weights = state.table.rows
     .filter((r) => r.service === service && r.importance === importance)
@@ -177,7 +177,7 @@
   received: CallReceived,
   row: TableRow,
   nowMs: number,
-): Opened {
+): OpenResult {
   if (received.contextHeader === undefined) {
     return openRoot(state, received, { ...row, retries: 0 }, nowMs);
   }
@@ -204,14 +204,14 @@
     retryTokens: share,
   };
   const next = addChild(
-    noteCallee({ ...state, served }, called, nowMs),
+    recordCallee({ ...state, served }, called, nowMs),
     parent.attemptId,
     received.exchangeId,
   );
   return { type: "Opened", state: next, context, parentId: parent.attemptId };
 }
 
-function answerUnread(
+function answerImmediately(
   state: NodeState,
   received: CallReceived,
   answer: OwnAnswer,
--- a/src/engine/call/common/entry_reply.ts
+++ b/src/engine/call/common/entry_reply.ts
@@ -10,11 +10,11 @@
 } from "../../peer/common/peer_messages.ts";
 import type { NodeEvent } from "./call_events.ts";
 import {
-  computeQuietMs,
+  computeStatusDelayMs,
   dropConnections,
-  parseAsk,
-  putAttempt,
-  suspectAttempt,
+  parseStatusRequestId,
+  replaceAttempt,
+  requestAttemptStatus,
 } from "./entry_ask.ts";
 import { settleFailure } from "./entry_attempts.ts";
 import { closeEntry, putEntry } from "./entry_state.ts";
@@ -25,7 +25,7 @@
 type PeerReplied = Extract<NodeEvent, { type: "PeerReplied" }>;
 
 /** What a reply shows of an attempt. */
-type Finding =
+type AttemptStatus =
   | "lives"
   | "relays"
   | "answered"
@@ -34,31 +34,31 @@
   | "silent";
 
 /** Replies without a sign of life after which an attempt is given up. */
-const MAX_MISSES = 2;
+const MAX_MISSED_STATUSES = 2;
 /** How long an answer that is on its way may take, in milliseconds. */
 const ANSWER_GRACE_MS = 250;
 
 /** The receiver of attempts replied, or did not. */
-export function settleAsked(
+export function applyStatusReply(
   state: NodeState,
   replied: PeerReplied,
   nowMs: number,
 ): NodeStep {
   const { requestId, reply } = replied;
   const found = reply?.type === "AttemptsFound" ? reply.found : [];
-  return parseAsk(requestId).reduce<NodeStep>(
+  return parseStatusRequestId(requestId).reduce<NodeStep>(
     (step, attemptId, index) =>
       chainReduction(step, (next) => {
-        const finding = readFinding(found[index]);
-        return settleFinding(next, { attemptId, finding }, nowMs);
+        const finding = getStatus(found[index]);
+        return applyStatus(next, { attemptId, finding }, nowMs);
       }),
     createReduction(state),
   );
 }
 
-function settleFinding(
+function applyStatus(
   state: NodeState,
-  found: { readonly attemptId: string; readonly finding: Finding },
+  found: { readonly attemptId: string; readonly finding: AttemptStatus },
   nowMs: number,
 ): NodeStep {
   const { attemptId, finding } = found;
@@ -70,15 +70,15 @@
   }
   const heard: Attempt = { ...attempt, isAsked: false };
   if (call.attempt === undefined) {
-    return settleRelay(state, call, { heard, finding });
+    return settleStalledAnswer(state, call, { heard, finding });
   }
   return attempt.isBroken
-    ? settleBroken(state, call.exchangeId, finding, nowMs)
-    : settleQuiet(state, call, { heard, finding }, nowMs);
+    ? settleBrokenAttempt(state, call.exchangeId, finding, nowMs)
+    : settleStalledAttempt(state, call, { heard, finding }, nowMs);
 }
 
 /** A relayed answer stands still: its receiver is asked whether it goes on. */
-export function suspectAnswer(
+export function handleStalledAnswer(
   state: NodeState,
   quiet: AnswerQuiet,
   nowMs: number,
@@ -89,24 +89,24 @@
   const isRemote = call?.relayed?.attemptId === attemptId &&
     call.relayed.nodeId !== state.self.nodeId;
   return exchangeId !== undefined && isRemote
-    ? suspectAttempt(state, exchangeId, isNew ? { misses: 0 } : {}, nowMs)
+    ? requestAttemptStatus(state, exchangeId, isNew ? { misses: 0 } : {}, nowMs)
     : createReduction(state);
 }
 
-function readFinding(found: FoundAttempt | undefined): Finding {
+function getStatus(found: FoundAttempt | undefined): AttemptStatus {
   switch (found?.type) {
     case "AttemptFenced":
       return "not-run";
     case "AttemptForgotten":
       return "forgotten";
     case "AttemptKnown":
-      return readPhase(found.phase);
+      return getPhaseStatus(found.phase);
     default:
       return "silent";
   }
 }
 
-function readPhase(phase: AttemptPhase): Finding {
+function getPhaseStatus(phase: AttemptPhase): AttemptStatus {
   switch (phase) {
     case "queued":
     case "running":
@@ -120,10 +120,10 @@
 }
 
 /** The connection failed: only proof that it did not run helps. */
-function settleBroken(
+function settleBrokenAttempt(
   state: NodeState,
   exchangeId: string,
-  finding: Finding,
+  finding: AttemptStatus,
   nowMs: number,
 ): NodeStep {
   const isNotRun = finding === "not-run";
@@ -134,30 +134,30 @@
 }
 
 /** The attempt is quiet: it lives, or is given up with what is known. */
-function settleQuiet(
+function settleStalledAttempt(
   state: NodeState,
   call: EntryCall,
-  asked: { readonly heard: Attempt; readonly finding: Finding },
+  asked: { readonly heard: Attempt; readonly finding: AttemptStatus },
   nowMs: number,
 ): NodeStep {
   const { heard, finding } = asked;
   if (finding === "lives") {
     const alive: Attempt = { ...heard, heardAtMs: nowMs, misses: 0 };
-    return createReduction(putAttempt(state, call, alive));
+    return createReduction(replaceAttempt(state, call, alive));
   }
   const misses = heard.misses + 1;
   const isGivenUp = finding === "not-run" || finding === "forgotten" ||
-    misses >= MAX_MISSES;
+    misses >= MAX_MISSED_STATUSES;
   if (!isGivenUp) {
     // An answer may be on its way: asks again shortly.
-    const heardAtMs = nowMs - computeQuietMs(call) + ANSWER_GRACE_MS;
+    const heardAtMs = nowMs - computeStatusDelayMs(call) + ANSWER_GRACE_MS;
     return createReduction(
-      putAttempt(state, call, { ...heard, heardAtMs, misses }),
+      replaceAttempt(state, call, { ...heard, heardAtMs, misses }),
     );
   }
   const isNotRun = finding === "not-run";
   const reason = `Connection is silent; the receiver says ${finding}`;
-  const next = isNotRun ? allowAgain(state, call, heard) : state;
+  const next = isNotRun ? allowReselection(state, call, heard) : state;
   const step = dropConnections(createReduction(next), heard);
   return chainReduction(
     step,
@@ -169,7 +169,7 @@
  * The attempt never arrived: the next one stands for it. The node answered on
  * a new connection, so it may be chosen again.
  */
-function allowAgain(
+function allowReselection(
   state: NodeState,
   call: EntryCall,
   attempt: Attempt,
@@ -182,16 +182,16 @@
  * A relayed answer stands still. It is cut where its receiver is done, waits
  * for this node to read, or can't be reached, at two questions in a row.
  */
-function settleRelay(
+function settleStalledAnswer(
   state: NodeState,
   call: EntryCall,
-  asked: { readonly heard: Attempt; readonly finding: Finding },
+  asked: { readonly heard: Attempt; readonly finding: AttemptStatus },
 ): NodeStep {
   const { heard, finding } = asked;
   const isLive = finding === "lives" || finding === "relays";
   const misses = isLive ? 0 : heard.misses + 1;
-  if (isLive || misses < MAX_MISSES) {
-    return createReduction(putAttempt(state, call, { ...heard, misses }));
+  if (isLive || misses < MAX_MISSED_STATUSES) {
+    return createReduction(replaceAttempt(state, call, { ...heard, misses }));
   }
   const { exchangeId } = call;
   const step = dropConnections(closeEntry(state, exchangeId), heard);
--- a/src/engine/call/common/entry_reroute.ts
+++ b/src/engine/call/common/entry_reroute.ts
@@ -18,7 +18,7 @@
 }
 
 /** Counts a free try. */
-export function createReroute(state: NodeState, exchangeId: string): NodeState {
+export function recordReroute(state: NodeState, exchangeId: string): NodeState {
   const call = state.entries.get(exchangeId)!;
   return putEntry(state, { ...call, rerouteCount: call.rerouteCount + 1 });
 }
--- a/src/engine/call/common/entry_rules.ts
+++ b/src/engine/call/common/entry_rules.ts
@@ -6,7 +6,7 @@
 import type { EntryCall, NodeState } from "./node_state.ts";
 
 /** Share of the remaining time that a receiver gets less than its sender. */
-const HOP_MARGIN = 0.05;
+const HOP_MARGIN_RATIO = 0.05;
 /** Most of that, in milliseconds. */
 const MAX_HOP_MARGIN_MS = 10;
 
@@ -40,7 +40,8 @@
  */
 export function computeRemainingMs(call: EntryCall, nowMs: number): number {
   const remainingMs = call.deadlineMs - nowMs;
-  return remainingMs - Math.min(MAX_HOP_MARGIN_MS, remainingMs * HOP_MARGIN);
+  return remainingMs -
+    Math.min(MAX_HOP_MARGIN_MS, remainingMs * HOP_MARGIN_RATIO);
 }
 
 /** Whether the next attempt may repeat a run, or was called by one that does. */
--- a/src/engine/call/common/entry_state.ts
+++ b/src/engine/call/common/entry_state.ts
@@ -85,7 +85,7 @@
   return { ...state, childrenOf };
 }
 
-function dropChild(state: NodeState, call: EntryCall): NodeState {
+function removeChild(state: NodeState, call: EntryCall): NodeState {
   const { parentId, exchangeId } = call;
   const children = state.childrenOf.get(parentId ?? "");
   if (parentId === undefined || children === undefined) {
@@ -103,7 +103,7 @@
   const call = state.entries.get(exchangeId)!;
   const key: TimerKey = { owner: "entry", id: exchangeId };
   const lastAttempt = `${exchangeId}.${call.attemptCount}`;
-  const next = dropChild({
+  const next = removeChild({
     ...state,
     entries: deleteEntry(state.entries, exchangeId),
     entryOfAttempt: deleteEntry(state.entryOfAttempt, lastAttempt),
@@ -121,7 +121,7 @@
   return createReduction({ ...next, served }, [stop]);
 }
 
-export function createEndRecord(
+export function createCallEndedEffect(
   call: EntryCall,
   status: number,
   outcome: CallOutcome,
--- a/src/engine/call/common/node_reducer.ts
+++ b/src/engine/call/common/node_reducer.ts
@@ -12,7 +12,7 @@
 import { isServiceKnown } from "../../routing/common/routing_state.ts";
 import { createAnswer } from "./answers.ts";
 import type { NodeEffect, NodeEvent, TimerKey } from "./call_events.ts";
-import { noteDownstream } from "./downstream_time.ts";
+import { updateDownstreamTime } from "./downstream_time.ts";
 import type { NodeState } from "./node_state.ts";
 import {
   answerEntry,
@@ -21,18 +21,18 @@
   failEntry,
 } from "./entry_attempts.ts";
 import { receiveEntry } from "./entry_open.ts";
-import { watchAttempts } from "./entry_ask.ts";
+import { detectStalledAttempts } from "./entry_ask.ts";
 import { cancelEntry } from "./entry_cancel.ts";
 import { endEntry, resumeEntries } from "./entry_reducer.ts";
-import { settleAsked, suspectAnswer } from "./entry_reply.ts";
+import { applyStatusReply, handleStalledAnswer } from "./entry_reply.ts";
 import {
-  keepFailure,
-  takeFailure,
-  takeProbe,
-  takeQuarantineReply,
+  applyProbe,
+  receiveFailure,
+  receiveQuarantineReply,
+  retainFailure,
 } from "./crash_steps.ts";
-import type { SettleHeld } from "./crash_steps.ts";
-import { tellJoined, tickLedger } from "./quarantine_ledger.ts";
+import type { SettleHeldFailure } from "./crash_steps.ts";
+import { notifyJoinedNode, tickLedger } from "./quarantine_ledger.ts";
 import { tickLeases } from "./quarantine_steps.ts";
 import { stepRouting } from "./entry_state.ts";
 import { answerPeer } from "./peer_reducer.ts";
@@ -42,20 +42,20 @@
   endServed,
   expireServed,
   failServed,
-  noteBlocked,
+  recordBlocked,
 } from "./served_reducer.ts";
 import { receiveIngress } from "./served_receive.ts";
-import { updateServed } from "./served_steps.ts";
+import { tickAdmission } from "./served_steps.ts";
 import type { NodeStep, ServedDeps } from "./served_types.ts";
 import {
-  keepAnswer,
+  receiveHolderReply,
+  receiveHolderSets,
+  recordAnswer,
   resumeServed,
-  takeHolderReply,
-  takeHolderSets,
   tickServedClaims,
 } from "./served_claims.ts";
-import { takeCandidate, takeTable } from "./table_intake.ts";
-import { dropDisused } from "./subscription_step.ts";
+import { activateCandidate, receiveTable } from "./table_intake.ts";
+import { unsubscribeUnused } from "./subscription_step.ts";
 
 /** Steps a node; `nowMs` is the wall clock in milliseconds. */
 export function reduceNode(
@@ -64,7 +64,7 @@
   nowMs: number,
 ): NodeStep {
   const step = applyEvent(state, event, nowMs);
-  return { ...step, state: noteDownstream(state, step.state, nowMs) };
+  return { ...step, state: updateDownstreamTime(state, step.state, nowMs) };
 }
 
 function applyEvent(
@@ -81,7 +81,7 @@
     case "AttemptAnswered":
       return applyAnswer(state, event, nowMs);
     case "AnswerCollected":
-      return keepAnswer(state, event.attemptId, event, deps);
+      return recordAnswer(state, event.attemptId, event, deps);
     case "AttemptFailed":
       return applyFailure(state, event, nowMs);
     case "AttemptEnded":
@@ -89,11 +89,16 @@
     case "AnswerCut":
       return applyCut(state, event.attemptId, nowMs);
     case "BackendProbed":
-      return takeProbe(state, event.isAlive, createSettleHeld(nowMs), deps);
+      return applyProbe(
+        state,
+        event.isAlive,
+        createFailureSettler(nowMs),
+        deps,
+      );
     case "AnswerQuiet":
-      return suspectAnswer(state, event, nowMs);
+      return handleStalledAnswer(state, event, nowMs);
     case "AnswerBlocked":
-      return noteBlocked(state, event.attemptId, event.isBlocked);
+      return recordBlocked(state, event.attemptId, event.isBlocked);
     case "CallerLeft":
       return cancelExchange(state, event.exchangeId, nowMs);
     case "BodyLimitPassed":
@@ -101,11 +106,11 @@
     case "TimerFired":
       return applyTimer(state, event.key, nowMs);
     case "TableReceived":
-      return takeTable(state, event, nowMs);
+      return receiveTable(state, event, nowMs);
     case "DrainRequested":
       return startDrain(state, nowMs);
     case "HolderSetsReceived":
-      return takeHolderSets(state, event.sets, deps);
+      return receiveHolderSets(state, event.sets, deps);
     case "Ticked":
       return tickNode(state, deps);
     case "PeerAsked":
@@ -122,7 +127,7 @@
       );
     case "MemberPublished":
       return chainReduction(
-        tellJoined(state, event.announcement, nowMs),
+        notifyJoinedNode(state, event.announcement, nowMs),
         (next) => createReduction(stepRouting(next, event, nowMs)),
       );
     case "MemberLost":
@@ -135,13 +140,13 @@
 /** What a node looks after as time passes. */
 function tickNode(state: NodeState, deps: ServedDeps): NodeStep {
   const steps: readonly ((next: NodeState) => NodeStep)[] = [
-    (next) => updateServed(next, deps),
-    (next) => watchAttempts(next, deps.nowMs),
+    (next) => tickAdmission(next, deps),
+    (next) => detectStalledAttempts(next, deps.nowMs),
     (next) => tickServedClaims(next, deps),
-    (next) => takeCandidate(next, deps.nowMs),
+    (next) => activateCandidate(next, deps.nowMs),
     (next) => tickLeases(next, deps.nowMs),
     (next) => tickLedger(next, deps.nowMs),
-    (next) => dropDisused(next, deps.nowMs),
+    (next) => unsubscribeUnused(next, deps.nowMs),
   ];
   return steps.reduce<NodeStep>(chainReduction, createReduction(state));
 }
@@ -153,13 +158,23 @@
 ): NodeStep {
   const { requestId, reply } = event;
   if (requestId.startsWith(QUARANTINE_PREFIX)) {
-    const settle = createSettleHeld(deps.nowMs);
+    const settle = createFailureSettler(deps.nowMs);
     const told = reply as QuarantineReply | undefined;
-    return takeQuarantineReply(state, { requestId, reply: told }, settle, deps);
+    return receiveQuarantineReply(
+      state,
+      { requestId, reply: told },
+      settle,
+      deps,
+    );
   }
   return requestId.startsWith(CLAIM_PREFIX)
-    ? takeHolderReply(state, requestId, reply as ClaimReply | undefined, deps)
-    : settleAsked(state, event, deps.nowMs);
+    ? receiveHolderReply(
+      state,
+      requestId,
+      reply as ClaimReply | undefined,
+      deps,
+    )
+    : applyStatusReply(state, event, deps.nowMs);
 }
 
 function applyAnswer(
@@ -184,7 +199,7 @@
   nowMs: number,
 ): NodeStep {
   if (state.served.has(event.attemptId)) {
-    return takeFailure(state, event, createServedDeps(nowMs));
+    return receiveFailure(state, event, createServedDeps(nowMs));
   }
   const exchangeId = state.entryOfAttempt.get(event.attemptId);
   return exchangeId === undefined
@@ -200,12 +215,12 @@
 ): NodeStep {
   const reason = "Answer was cut";
   return state.served.has(attemptId)
-    ? keepFailure(state, { attemptId, reason, isReset: true, isCut: true })
+    ? retainFailure(state, { attemptId, reason, isReset: true, isCut: true })
     : applyEnd(state, attemptId, false, nowMs);
 }
 
 /** Ends attempts whose failure was held. */
-function createSettleHeld(nowMs: number): SettleHeld {
+function createFailureSettler(nowMs: number): SettleHeldFailure {
   const deps = createServedDeps(nowMs);
   return (state, held) =>
     held.isCut
--- a/src/engine/call/common/quarantine_ledger.ts
+++ b/src/engine/call/common/quarantine_ledger.ts
@@ -30,7 +30,7 @@
 import type { NodeEffect } from "./call_events.ts";
 import type { NodeState } from "./node_state.ts";
 import {
-  createAsk,
+  createPeerRequest,
   findOwner,
   listPeers,
   putQuarantine,
@@ -43,11 +43,11 @@
 >;
 
 /** Most suspects in one message. */
-const MAX_VERDICTS = 1_024;
+const MAX_SUSPECTS_PER_MESSAGE = 1_024;
 /** When to come back to an owner that can keep no further suspect. */
-const FULL_RETRY_MS = 10_000;
+const LEDGER_FULL_RETRY_MS = 10_000;
 /** Time between two rounds of questions about old suspects. */
-const CHECK_MS = 3_000;
+const CHECK_INTERVAL_MS = 3_000;
 const VERDICT_PREFIX = `${QUARANTINE_PREFIX}verdict/`;
 /** Request ids of questions about old suspects begin with this. */
 export const CHECK_PREFIX = `${QUARANTINE_PREFIX}check/`;
@@ -76,13 +76,13 @@
     reply: { type: "SuspectsNoted" },
   };
   return chainReduction(
-    noteMessage(state, message, nowMs),
+    applyMessage(state, message, nowMs),
     (next) => createReduction(next, [noted]),
   );
 }
 
 /** Notes what ran when a backend server died, and judges what is owned here. */
-export function noteCrash(
+export function recordCrash(
   state: NodeState,
   crash: Omit<Message<"TellSuspects">, "type">,
   nowMs: number,
@@ -116,7 +116,7 @@
  * some, and have lost them: of each one the node tells that owns it among the
  * others.
  */
-export function tellJoined(
+export function notifyJoinedNode(
   state: NodeState,
   joined: Announcement,
   nowMs: number,
@@ -135,14 +135,14 @@
     .filter(([fingerprint]) =>
       chooseOwner(others, fingerprint)?.nodeId === state.self.nodeId
     )
-    .slice(-MAX_VERDICTS)
+    .slice(-MAX_SUSPECTS_PER_MESSAGE)
     .map(([fingerprint, { quarantinedUntilMs }]) => ({
       fingerprint,
       isCleared: false,
       quarantineMs: Math.max(0, quarantinedUntilMs - nowMs),
     }));
   return createReduction(state, [
-    createAsk(`${VERDICT_PREFIX}${nodeId}`, ingress, {
+    createPeerRequest(`${VERDICT_PREFIX}${nodeId}`, ingress, {
       type: "TellVerdicts",
       verdicts,
     }),
@@ -161,14 +161,14 @@
 }
 
 /** Forgets the suspects that their owner says it has cleared. */
-export function takeChecked(
+export function applyClearedSuspects(
   state: NodeState,
   cleared: readonly Fingerprint[],
   nowMs: number,
 ): NodeState {
   return cleared.reduce(
     (next, fingerprint) =>
-      noteDecision(
+      recordVerdict(
         next,
         { fingerprint, isCleared: true, quarantineMs: 0 },
         nowMs,
@@ -183,7 +183,7 @@
  */
 function checkSuspects(state: NodeState, nowMs: number): Step {
   const { known, checkedAtMs, ledger } = state.quarantine;
-  if (known.size === 0 || nowMs - checkedAtMs < CHECK_MS) {
+  if (known.size === 0 || nowMs - checkedAtMs < CHECK_INTERVAL_MS) {
     return createReduction(state);
   }
   const byOwner = new Map<string, Fingerprint[]>();
@@ -197,16 +197,16 @@
     fingerprints.push(fingerprint);
   }
   const asks = [...byOwner].map(([owner, fingerprints]) =>
-    createAsk(`${CHECK_PREFIX}${owner}`, owner, {
+    createPeerRequest(`${CHECK_PREFIX}${owner}`, owner, {
       type: "CheckSuspects",
-      fingerprints: fingerprints.slice(0, MAX_VERDICTS),
+      fingerprints: fingerprints.slice(0, MAX_SUSPECTS_PER_MESSAGE),
     })
   );
   const next = putQuarantine(state, { checkedAtMs: nowMs });
   return createReduction(next, asks);
 }
 
-function noteMessage(
+function applyMessage(
   state: NodeState,
   message: Exclude<
     QuarantineMessage,
@@ -216,11 +216,11 @@
 ): Step {
   switch (message.type) {
     case "TellSuspects":
-      return noteCrash(state, message, nowMs);
+      return recordCrash(state, message, nowMs);
     case "TellVerdicts": {
       return createReduction(
         message.verdicts.reduce(
-          (before, verdict) => noteDecision(before, verdict, nowMs),
+          (before, verdict) => recordVerdict(before, verdict, nowMs),
           state,
         ),
       );
@@ -241,7 +241,7 @@
   const { suspects } = state.quarantine.ledger;
   const isKnown = suspects.has(fingerprint);
   if (!isKnown && suspects.size >= MAX_KNOWN_SUSPECTS) {
-    const retryAfterMs = FULL_RETRY_MS;
+    const retryAfterMs = LEDGER_FULL_RETRY_MS;
     const reply = { type: "RunRefused", reason: "suspect_runs" } as const;
     return createReduction(state, [
       { type: "AnswerPeer", askId, reply: { ...reply, retryAfterMs } },
@@ -314,7 +314,7 @@
     case "PublishQuarantine": {
       const { fingerprint } = effect;
       const lengthMs = effect.untilMs - nowMs;
-      return tellVerdict(state, {
+      return publishVerdict(state, {
         fingerprint,
         isCleared: false,
         quarantineMs: lengthMs,
@@ -322,7 +322,7 @@
     }
     case "PublishCleared": {
       const { fingerprint } = effect;
-      return tellVerdict(state, {
+      return publishVerdict(state, {
         fingerprint,
         isCleared: true,
         quarantineMs: 0,
@@ -331,7 +331,7 @@
   }
 }
 
-function tellVerdict(
+function publishVerdict(
   state: NodeState,
   verdict: Verdict,
   nowMs: number,
@@ -341,9 +341,9 @@
   const tells = listPeers(state)
     .filter(({ nodeId }) => nodeId !== state.self.nodeId)
     .map(({ nodeId, ingress }) =>
-      createAsk(`${VERDICT_PREFIX}${nodeId}`, ingress, told)
+      createPeerRequest(`${VERDICT_PREFIX}${nodeId}`, ingress, told)
     );
-  return createReduction(noteDecision(state, verdict, nowMs), [
+  return createReduction(recordVerdict(state, verdict, nowMs), [
     {
       type: "RecordEvent",
       event: isCleared
@@ -355,7 +355,7 @@
 }
 
 /** Notes what the owner decided, and when it cleared a suspect. */
-function noteDecision(
+function recordVerdict(
   state: NodeState,
   verdict: Verdict,
   nowMs: number,
--- a/src/engine/call/common/quarantine_steps.ts
+++ b/src/engine/call/common/quarantine_steps.ts
@@ -38,15 +38,15 @@
 /** How long the backend server may go on with a run that was given up. */
 const LINGER_MS = 3_000;
 /** Time between two tries to tell the owner of the end. */
-const END_RETRY_MS = 1_000;
+const END_RETRY_INTERVAL_MS = 1_000;
 /** An owner that can't be told for so long is given up. */
-const END_PATIENCE_MS = 60_000;
+const END_TIMEOUT_MS = 60_000;
 const RETRY_AFTER_MS = 1_000;
 /** Most runs that were given up and are remembered. */
-const MAX_ABANDONED = 64;
+const MAX_ABANDONED_RUNS = 64;
 
 /** A suspect that can't be told from its owner's answer to run. */
-export const NO_OWNER: OwnAnswer = {
+export const OWNER_UNAVAILABLE: OwnAnswer = {
   status: 503,
   outcome: "not-run",
   message: "This attempt was not run: a backend server died with such a " +
@@ -79,16 +79,16 @@
   }
   const restMs = suspect.quarantinedUntilMs - nowMs;
   if (restMs > 0) {
-    return { type: "Refused", answer: createQuarantined(restMs) };
+    return { type: "Refused", answer: createQuarantinedAnswer(restMs) };
   }
   if ([...leases.values()].some((lease) => lease.phase !== "ending")) {
-    return { type: "Refused", answer: createBusy(RETRY_AFTER_MS) };
+    return { type: "Refused", answer: createBusyAnswer(RETRY_AFTER_MS) };
   }
-  return askOwner(state, call, nowMs);
+  return requestLease(state, call, nowMs);
 }
 
 /** Answer to a request in quarantine. Not 5xx: clients resend those. */
-export function createQuarantined(restMs: number): OwnAnswer {
+export function createQuarantinedAnswer(restMs: number): OwnAnswer {
   return {
     status: 422,
     outcome: "not-run",
@@ -99,7 +99,7 @@
 }
 
 /** Answer to a suspect while another run of a suspect is under way. */
-export function createBusy(retryAfterMs: number): OwnAnswer {
+export function createBusyAnswer(retryAfterMs: number): OwnAnswer {
   return {
     status: 503,
     outcome: "not-run",
@@ -133,12 +133,12 @@
     toldAtMs: nowMs,
   };
   return createReduction(putLease(state, attemptId, ending), [
-    createEnd(state, attemptId, ending),
+    createEndRequest(state, attemptId, ending),
   ]);
 }
 
 /** A run is given up here, while the backend server may go on with it. */
-export function noteAbandoned(
+export function recordAbandoned(
   state: NodeState,
   call: ServedCall,
   nowMs: number,
@@ -148,7 +148,9 @@
     return state;
   }
   const run = { fingerprint, untilMs: nowMs + LINGER_MS };
-  const abandoned = [...state.quarantine.abandoned, run].slice(-MAX_ABANDONED);
+  const abandoned = [...state.quarantine.abandoned, run].slice(
+    -MAX_ABANDONED_RUNS,
+  );
   const noted = putQuarantine(state, { abandoned });
   const lease = state.quarantine.leases.get(attemptId);
   return lease?.phase === "running"
@@ -175,7 +177,7 @@
 }
 
 /** The owner was told that a lease is over, or couldn't be reached. */
-export function takeEndReply(
+export function applyEndReply(
   state: NodeState,
   attemptId: string,
   isTold: boolean,
@@ -220,7 +222,7 @@
 }
 
 /** Creates the effect that asks or tells another node. */
-export function createAsk(
+export function createPeerRequest(
   requestId: string,
   address: string,
   message: QuarantineMessage,
@@ -237,7 +239,7 @@
   };
 }
 
-function askOwner(
+function requestLease(
   state: NodeState,
   call: ServedCall,
   nowMs: number,
@@ -246,7 +248,7 @@
   const fingerprint = call.fingerprint!;
   const owner = findOwner(state, fingerprint)?.ingress;
   if (owner === undefined) {
-    return { type: "Refused", answer: NO_OWNER };
+    return { type: "Refused", answer: OWNER_UNAVAILABLE };
   }
   const lease: LocalLease = {
     fingerprint,
@@ -259,7 +261,7 @@
   };
   const { nodeId } = state.self;
   const timeoutMs = deadlineMs - nowMs;
-  const ask = createAsk(`${LEASE_PREFIX}${attemptId}`, owner, {
+  const ask = createPeerRequest(`${LEASE_PREFIX}${attemptId}`, owner, {
     type: "RequestRun",
     nodeId,
     fingerprint,
@@ -282,28 +284,30 @@
   if (lease.phase === "lingering" && ageMs >= LINGER_MS) {
     return endLease(state, attemptId, { isWhole: false, nowMs });
   }
-  if (lease.phase !== "ending" || nowMs - lease.toldAtMs < END_RETRY_MS) {
+  if (
+    lease.phase !== "ending" || nowMs - lease.toldAtMs < END_RETRY_INTERVAL_MS
+  ) {
     return createReduction(state);
   }
-  if (ageMs > END_PATIENCE_MS) {
+  if (ageMs > END_TIMEOUT_MS) {
     const leases = deleteEntry(state.quarantine.leases, attemptId);
     return createReduction(putQuarantine(state, { leases }));
   }
   const told: LocalLease = { ...lease, toldAtMs: nowMs };
   return appendEffects(
     createReduction<NodeState, NodeEffect>(putLease(state, attemptId, told)),
-    createEnd(state, attemptId, told),
+    createEndRequest(state, attemptId, told),
   );
 }
 
-function createEnd(
+function createEndRequest(
   state: NodeState,
   attemptId: string,
   lease: LocalLease,
 ): NodeEffect {
   const { fingerprint, isWhole, leaseId, owner } = lease;
   const { nodeId } = state.self;
-  return createAsk(`${END_PREFIX}${attemptId}`, owner, {
+  return createPeerRequest(`${END_PREFIX}${attemptId}`, owner, {
     type: "EndRun",
     nodeId,
     fingerprint,
--- a/src/engine/call/common/resend_step.ts
+++ b/src/engine/call/common/resend_step.ts
@@ -7,7 +7,7 @@
 import type { NodeState } from "./node_state.ts";
 
 /** What the budget comes to. */
-export interface CheckedResend {
+export interface ResendCheck {
   readonly state: NodeState;
   /** Undefined: the call goes on. */
   readonly refusal: OwnAnswer | undefined;
@@ -29,9 +29,9 @@
   received: CallReceived,
   row: TableRow,
   nowMs: number,
-): CheckedResend {
+): ResendCheck {
   const { caller, exchangeId } = received;
-  const id = readId(received);
+  const id = getResendId(received);
   if (!row.idempotent || caller === undefined || id === undefined) {
     return { state, refusal: undefined };
   }
@@ -52,7 +52,7 @@
 }
 
 /** One id may be on several requests of a caller: the target belongs to it. */
-function readId(received: CallReceived): string | undefined {
+function getResendId(received: CallReceived): string | undefined {
   const { method, path, requestKey, requestId } = received;
   const name = requestKey === undefined
     ? requestId
--- a/src/engine/call/common/served_claims.ts
+++ b/src/engine/call/common/served_claims.ts
@@ -34,7 +34,7 @@
 const RETRY_AFTER_MS = 1_000;
 
 /** Takes the reply to a question about claims. */
-export function takeHolderReply(
+export function receiveHolderReply(
   state: NodeState,
   requestId: string,
   reply: ClaimReply | undefined,
@@ -44,7 +44,7 @@
 }
 
 /** Takes the holder sets that control told. */
-export function takeHolderSets(
+export function receiveHolderSets(
   state: NodeState,
   sets: HolderSets,
   deps: ServedDeps,
@@ -76,7 +76,7 @@
 }
 
 /** The whole answer of a claimed attempt is here: the holders come first. */
-export function keepAnswer(
+export function recordAnswer(
   state: NodeState,
   attemptId: string,
   collected: {
@@ -151,7 +151,7 @@
     const step = endServed(state, attemptId, true, deps);
     return appendEffects(step, { type: "DiscardAnswer", attemptId });
   }
-  const answer = createHead(call.collectedStatus);
+  const answer = createAnswerHead(call.collectedStatus);
   return answerServed(state, attemptId, answer, deps);
 }
 
@@ -166,20 +166,21 @@
     const provide: NodeEffect = { type: "ProvideAnswer", attemptId, answer };
     return chainReduction(
       createReduction<NodeState, NodeEffect>(state, [provide]),
-      (next) => answerServed(next, attemptId, createHead(answer.status), deps),
+      (next) =>
+        answerServed(next, attemptId, createAnswerHead(answer.status), deps),
     );
   }
-  const answer = createRefusal(verdict);
+  const answer = createVerdictAnswer(verdict);
   return answer.outcome === "not-run"
     ? refuseServed(state, attemptId, answer, deps)
     : settleServed(state, attemptId, answer, deps);
 }
 
-function createHead(status: number): AttemptAnswer {
+function createAnswerHead(status: number): AttemptAnswer {
   return { status, outcome: "ran", tokens: 0, isDraining: false };
 }
 
-function createRefusal(
+function createVerdictAnswer(
   verdict: Exclude<Verdict, { type: "Answered" }>,
 ): OwnAnswer {
   switch (verdict.type) {
--- a/src/engine/call/common/served_receive.ts
+++ b/src/engine/call/common/served_receive.ts
@@ -23,19 +23,19 @@
   const { exchangeId } = call;
   const context = decodeContext(call.contextHeader ?? "");
   if (context.isErr()) {
-    return answerAtOnce(state, exchangeId, {
+    return answerImmediately(state, exchangeId, {
       status: 400,
       outcome: "not-run",
       message: `Context header is malformed: ${context.error.reason}`,
     });
   }
-  const refusal = findRepeat(state, context.value.attemptId);
+  const refusal = checkDuplicate(state, context.value.attemptId);
   if (refusal !== undefined) {
-    return answerAtOnce(state, exchangeId, refusal);
+    return answerImmediately(state, exchangeId, refusal);
   }
   const row = selectRow(state.table, call);
   if (row === undefined) {
-    return answerAtOnce(state, exchangeId, {
+    return answerImmediately(state, exchangeId, {
       status: 404,
       outcome: "not-run",
       message: `No kind of request matches ${call.method} ${call.path}`,
@@ -56,7 +56,7 @@
 }
 
 /** Answers an attempt id that was here before: none runs twice. */
-function findRepeat(
+function checkDuplicate(
   state: NodeState,
   attemptId: string,
 ): OwnAnswer | undefined {
@@ -111,7 +111,7 @@
   );
 }
 
-function answerAtOnce(
+function answerImmediately(
   state: NodeState,
   exchangeId: string,
   answer: OwnAnswer,
--- a/src/engine/call/common/served_reducer.ts
+++ b/src/engine/call/common/served_reducer.ts
@@ -9,12 +9,12 @@
 import { EMPTY_POOL } from "../../retry/common/retry_tokens.ts";
 import { createSignalHeaders } from "./answers.ts";
 import type { OwnAnswer } from "./answers.ts";
-import { isClaimWon, isReplay, withdrawServed } from "./claim_steps.ts";
-import { quoteLevel } from "./call_level.ts";
+import { isClaimWon, isReplay, withdrawServedClaim } from "./claim_steps.ts";
+import { computeReportedLevel } from "./call_level.ts";
 import { computeDownstreamMs } from "./downstream_time.ts";
 import type { AttemptAnswer, NodeEffect } from "./call_events.ts";
 import type { NodeState, ServedCall } from "./node_state.ts";
-import { endLease, noteAbandoned } from "./quarantine_steps.ts";
+import { endLease, recordAbandoned } from "./quarantine_steps.ts";
 import type { LocalResult, NodeStep, ServedDeps } from "./served_types.ts";
 import {
   isAnswered,
@@ -59,7 +59,7 @@
     outcome: "ran",
     tokens: left,
     isDraining: state.self.isDraining,
-    level: quoteLevel(state, call.row.kind, deps.nowMs),
+    level: computeReportedLevel(state, call.row.kind, deps.nowMs),
     load: state.loadHint,
   });
   const { exchangeId } = call;
@@ -72,7 +72,7 @@
 }
 
 /** Whoever asked stopped taking the answer, or goes on. */
-export function noteBlocked(
+export function recordBlocked(
   state: NodeState,
   attemptId: string,
   isBlocked: boolean,
@@ -102,7 +102,7 @@
   const { attemptId, isSent, reason } = failure;
   const withdrawn: NodeStep = isSent
     ? createReduction(state)
-    : withdrawServed(state, attemptId);
+    : withdrawServedClaim(state, attemptId);
   const answer: OwnAnswer = {
     status: isSent ? 502 : 503,
     outcome: isSent ? "unknown" : "not-run",
@@ -159,7 +159,7 @@
   }
   const left = isUnsent(state, call)
     ? state
-    : noteAbandoned(state, call, deps.nowMs);
+    : recordAbandoned(state, call, deps.nowMs);
   const step = releaseServed(left, attemptId, deps);
   return call.phase === "queued"
     ? step
@@ -177,13 +177,15 @@
     return createReduction(state);
   }
   const isNotRun = isUnsent(state, call);
-  const left = isNotRun ? state : noteAbandoned(state, call, deps.nowMs);
+  const left = isNotRun ? state : recordAbandoned(state, call, deps.nowMs);
   const step = settleServed(left, attemptId, {
     status: 504,
     outcome: isNotRun ? "not-run" : "unknown",
     message: "Deadline passed",
   }, deps);
-  return isNotRun ? step : appendEffects(step, ...createAborts(state, call));
+  return isNotRun
+    ? step
+    : appendEffects(step, ...createAbortEffects(state, call));
 }
 
 /**
@@ -191,7 +193,7 @@
  * nothing since the attempt came, its other connections may be silent too:
  * later attempts use new ones.
  */
-function createAborts(
+function createAbortEffects(
   state: NodeState,
   call: ServedCall,
 ): readonly NodeEffect[] {
--- a/src/engine/call/common/served_steps.ts
+++ b/src/engine/call/common/served_steps.ts
@@ -17,12 +17,12 @@
   checkKey,
   claimServed,
   endClaim,
+  HOLDERS_UNKNOWN,
   isClaiming,
   isClaimNeeded,
-  NO_HOLDERS,
-  withdrawServed,
+  withdrawServedClaim,
 } from "./claim_steps.ts";
-import { quoteLevel } from "./call_level.ts";
+import { computeReportedLevel } from "./call_level.ts";
 import { computeDownstreamMs } from "./downstream_time.ts";
 import type { TimerKey } from "./call_events.ts";
 import type { NodeState, ServedCall } from "./node_state.ts";
@@ -42,7 +42,7 @@
 }
 
 /** Time has passed: queued requests may have to go, or may run. */
-export function updateServed(state: NodeState, deps: ServedDeps): NodeStep {
+export function tickAdmission(state: NodeState, deps: ServedDeps): NodeStep {
   return stepAdmission(state, { type: "Ticked" }, deps);
 }
 
@@ -94,7 +94,7 @@
   }
   return isClaimNeeded(call)
     ? claimServed(next, running) ??
-      refuseServed(next, attemptId, NO_HOLDERS, deps)
+      refuseServed(next, attemptId, HOLDERS_UNKNOWN, deps)
     : sendServed(next, attemptId, deps);
 }
 
@@ -112,7 +112,7 @@
   }
   if (suspect?.type === "Refused") {
     return chainReduction(
-      withdrawServed(state, attemptId),
+      withdrawServedClaim(state, attemptId),
       (next) => refuseServed(next, attemptId, suspect.answer, deps),
     );
   }
@@ -180,7 +180,7 @@
   const signals = {
     tokens: call.pool.left,
     isDraining: state.self.isDraining,
-    level: quoteLevel(step.state, call.row.kind, deps.nowMs),
+    level: computeReportedLevel(step.state, call.row.kind, deps.nowMs),
     load: state.loadHint,
   };
   return appendEffects(step, createAnswer(call.exchangeId, answer, signals));
@@ -212,7 +212,7 @@
     };
   const released = { ...state, served, settled };
   const ended = isAwaitingLease(state, attemptId)
-    ? withdrawServed(released, attemptId)
+    ? withdrawServedClaim(released, attemptId)
     : endClaim(released, attemptId);
   const step = chainReduction(
     ended,
--- a/src/engine/call/common/subscription_step.ts
+++ b/src/engine/call/common/subscription_step.ts
@@ -7,7 +7,7 @@
 import type { NodeStep } from "./served_types.ts";
 
 /** Notes that a service is called. */
-export function noteService(
+export function recordServiceUse(
   state: NodeState,
   service: string,
   nowMs: number,
@@ -19,7 +19,7 @@
 }
 
 /** Unsubscribes from services that weren't called for long. */
-export function dropDisused(state: NodeState, nowMs: number): NodeStep {
+export function unsubscribeUnused(state: NodeState, nowMs: number): NodeStep {
   const own = state.self.service;
   const disused = findDisused(state.subscriptions, nowMs)
     .filter((service) => service !== own);
--- a/src/engine/call/common/table_intake.ts
+++ b/src/engine/call/common/table_intake.ts
@@ -19,7 +19,7 @@
  * A table takes effect only if it is newer than the one in force. A starting
  * node waits for a confirmed one first.
  */
-export function takeTable(
+export function receiveTable(
   state: NodeState,
   received: ReceivedTable,
   nowMs: number,
@@ -30,21 +30,21 @@
   }
   const isStarting = state.table.version === 0 && table.version > 0;
   return isStarting && !isConfirmed
-    ? takeCandidate(keepCandidate(state, table, nowMs), nowMs)
-    : putInForce(state, received);
+    ? activateCandidate(updateCandidate(state, table, nowMs), nowMs)
+    : activateTable(state, received);
 }
 
 /** After a time without a confirmed table, takes the highest one found. */
-export function takeCandidate(state: NodeState, nowMs: number): NodeStep {
+export function activateCandidate(state: NodeState, nowMs: number): NodeStep {
   const { tableCandidate } = state;
   const isDue = tableCandidate !== undefined &&
     nowMs - tableCandidate.sinceMs >= CONFIRMED_WAIT_MS;
   return isDue
-    ? putInForce(state, { table: tableCandidate.table, isConfirmed: false })
+    ? activateTable(state, { table: tableCandidate.table, isConfirmed: false })
     : createReduction(state);
 }
 
-function keepCandidate(
+function updateCandidate(
   state: NodeState,
   table: Table,
   nowMs: number,
@@ -58,7 +58,7 @@
   return { ...state, tableCandidate };
 }
 
-function putInForce(state: NodeState, received: ReceivedTable): NodeStep {
+function activateTable(state: NodeState, received: ReceivedTable): NodeStep {
   const { table, isConfirmed } = received;
   const { version } = table;
   const next: NodeState = {
