--- a/src/engine/call/common/answers.ts
+++ b/src/engine/call/common/answers.ts
@@ -1,4 +1,4 @@
-/** The answers that a node gives itself, and the headers that go with them. */
+/** Answers that a node generates itself, and their signal headers. */
 import { encodeLevel } from "../../admission/common/admission_level.ts";
 import type { AdmissionLevel } from "../../admission/common/admission_level.ts";
 import type { RefusalReason } from "../../admission/common/admission_types.ts";
@@ -12,32 +12,33 @@
 import type { CallOutcome } from "./call_context.ts";
 import type { AnswerCall, SignalHeaders } from "./call_events.ts";
 
-/** An answer before it is bound to an exchange. */
+/** An answer that is not yet bound to an exchange. */
 export interface OwnAnswer {
   readonly status: number;
   readonly outcome: CallOutcome;
   readonly message: string;
-  /** When the caller should come back, in milliseconds. */
+  /** Delay after which the caller may retry, in milliseconds. */
   readonly retryAfterMs?: number;
-  /** Why it was refused, for the time line; the message where left out. */
+  /** Reason of the refusal on the time line; defaults to the message. */
   readonly reason?: RefusalReason;
 }
 
-/** What rides on every answer to another node. */
+/** Signals that every answer to another node carries. */
 export interface AnswerSignals {
   readonly outcome: CallOutcome;
+  /** Unused retry tokens, returned to the caller. */
   readonly tokens?: number;
   readonly isDraining?: boolean;
-  /** Undefined: nothing is to be refused early. */
+  /** Admission level; undefined where callers need not refuse early. */
   readonly level?: AdmissionLevel | undefined;
-  /** What the platform's endpoints hint at, whole per cent. */
+  /** Load hint of the local backend server, in whole per cent. */
   readonly load?: number | undefined;
 }
 
-/** When to come back after a "not run" that says no time of its own. */
+/** Retry delay of a "not-run" answer that sets none. */
 const DEFAULT_RETRY_AFTER_MS = 1_000;
 
-/** Creates the answer effect of one exchange. */
+/** Creates the effect that answers an exchange. */
 export function createAnswer(
   exchangeId: string,
   answer: OwnAnswer,
@@ -58,7 +59,7 @@
   };
 }
 
-/** A "not run" that a later try may change says when to come back. */
+/** Returns a delay for "not-run" answers with a temporary cause, status 5xx. */
 function getDefaultRetryAfter(
   { outcome, status }: OwnAnswer,
 ): number | undefined {
@@ -67,7 +68,7 @@
     : undefined;
 }
 
-/** Writes signals as headers. */
+/** Converts signals to headers. */
 export function createSignalHeaders(signals: AnswerSignals): SignalHeaders {
   const { outcome, tokens, isDraining, level, load } = signals;
   return {
--- a/src/engine/call/common/call_context.ts
+++ b/src/engine/call/common/call_context.ts
@@ -1,57 +1,64 @@
-/** The request context that travels with every call, and its headers. */
+/** The request context that every call carries, and the headers of a call. */
 import { parseDictionary, serializeDictionary } from "structured-headers";
 import { err, ok, type Result } from "neverthrow";
 
-/** Carries a `CallContext`; backend servers copy it onto their own calls. */
+/** Carries a `CallContext`; backend servers copy it to the calls they make. */
 export const CONTEXT_HEADER = "basilpin-context";
-/** Says on an answer what became of the attempt: a `CallOutcome`. */
+/** On an answer: the attempt's `CallOutcome`. */
 export const OUTCOME_HEADER = "basilpin-outcome";
-/** Says on an answer the admission level of the node that gave it. */
+/** On an answer: admission level of the node that sent it. */
 export const LEVEL_HEADER = "basilpin-level";
-/** Gives unused retry tokens back to the caller's node. */
+/** On an answer: unused retry tokens, returned to the calling node. */
 export const TOKENS_HEADER = "basilpin-tokens";
-/** Says on an answer that the node takes no new work. */
+/** On an answer: the node is draining and accepts no new work. */
 export const DRAINING_HEADER = "basilpin-draining";
-/** Says on an answer the load hint of its backend server, whole per cent. */
+/** On an answer: load hint of the node's backend server, in whole per cent. */
 export const LOAD_HEADER = "basilpin-load";
-/** Every header of the system begins with this. */
+/** Prefix of every header that nodes add. */
 export const HEADER_PREFIX = "basilpin-";
 
-/** What became of an attempt, as far as it can be proved. */
+/**
+ * Whether an attempt was executed: `ran` and `not-run` are proved, else it is
+ * `unknown`.
+ */
 export type CallOutcome = "ran" | "not-run" | "unknown";
 
-/** What a call knows of the root request that it belongs to. */
+/**
+ * Identifies a call within its root request, the request from outside that the
+ * whole call tree serves.
+ */
 export interface CallContext {
-  /** The root request, the same through its whole call tree. */
+  /** Id of the root request; the same in its whole call tree. */
   readonly rootId: string;
-  /** This one attempt; never used again. */
+  /** Id of this attempt; never reused. */
   readonly attemptId: string;
   /** Importance of the root request, 0 to 9. */
   readonly importance: number;
-  /** Orders root requests of one importance; unsigned 32-bit. */
+  /** Orders root requests of equal importance; unsigned 32-bit integer. */
   readonly admissionHash: number;
   /** Hops from the root request, 0 at the edge. */
   readonly depth: number;
-  /** Time that is left, in milliseconds. */
+  /** Time until the deadline, in milliseconds. */
   readonly remainingMs: number;
-  /** Retries that this call's subtree may spend. */
+  /** Retries that this call and the calls below it may spend. */
   readonly retryTokens: number;
-  /** Whether it repeats a run, or a run that repeats one made the call. */
+  /** Whether it repeats an execution, or an attempt that does made the call. */
   readonly isRepeat?: boolean;
 }
 
-/** A context header that can't be read. */
+/** Rejection of a context header. */
 export interface MalformedContext {
   readonly type: "MalformedContext";
   readonly reason: string;
 }
 
-/** Deepest call tree that is served. */
+/** Deepest call that is accepted, in hops from the root request. */
 export const MAX_DEPTH = 64;
+/** In characters. */
 const MAX_HEADER_LENGTH = 512;
 const ID = /^[A-Za-z0-9._:-]{1,96}$/;
 
-/** Writes a context as an RFC 9651 dictionary. */
+/** Encodes a context as an RFC 9651 dictionary. */
 export function encodeContext(context: CallContext): string {
   return serializeDictionary({
     root: context.rootId,
@@ -65,7 +72,7 @@
   });
 }
 
-/** Reads a context; every member but `repeat` must be there and in range. */
+/** Decodes a context; all members but `repeat` are required and checked. */
 export function decodeContext(
   text: string,
 ): Result<CallContext, MalformedContext> {
--- a/src/engine/call/common/call_events.ts
+++ b/src/engine/call/common/call_events.ts
@@ -1,4 +1,4 @@
-/** Events and effects of the calls that pass a node. */
+/** Events and effects of the calls that a node handles. */
 import type { AdmissionLevel } from "../../admission/common/admission_level.ts";
 import type {
   HolderSets,
@@ -16,60 +16,64 @@
 import type { TimelineEvent } from "../../telemetry/common/timeline_event.ts";
 import type { CallContext, CallOutcome } from "./call_context.ts";
 
-/** Where a call came in. */
+/**
+ * Listener on which a call arrived: `edge` for callers outside the system,
+ * `egress` for the local backend server, `ingress` for other nodes.
+ */
 export type Listener = "edge" | "egress" | "ingress";
 
-/** A call whose head (and, where it is small, body) has arrived. */
+/** A call whose head has arrived, and its body where that is small. */
 export interface CallReceived {
   readonly type: "CallReceived";
-  /** The HTTP exchange with whoever called; never used again. */
+  /** Identifies the HTTP exchange with the caller; never reused. */
   readonly exchangeId: string;
   readonly listener: Listener;
   readonly method: string;
   /** Path without the query. */
   readonly path: string;
-  /** The raw context header; ignored at the edge. */
+  /** The unparsed context header; ignored on the edge listener. */
   readonly contextHeader: string | undefined;
   /** Content-Length; undefined for a chunked body. */
   readonly bodyBytes: number | undefined;
-  /** Whether the whole body is held and can be sent again. */
+  /** Whether the whole body is buffered, so that it can be sent again. */
   readonly isReplayable: boolean;
-  /** Names the caller for the admission hash; see `computeAdmissionHash`. */
+  /** Identifies the caller in `computeAdmissionHash`. */
   readonly admissionKey?: string | undefined;
   /** From the `Idempotency-Key` header; undefined without one. */
   readonly requestKey?: RequestKey;
-  /** Names the caller for its budget of resends; only at the edge. */
+  /** Identifies the caller for its resend budget; only on the edge listener. */
   readonly caller?: string | undefined;
-  /** `x-request-id` and the target; undefined without that header. */
+  /** `x-request-id` and the request target; undefined without that header. */
   readonly requestId?: string;
   /**
-   * Digest of method, target and body; of the length alone where the body
-   * isn't held whole. The same at both ends of a hop.
+   * Digest of method, target and body, or of the body's length where the body
+   * isn't buffered whole. Sender and receiver of a hop compute the same value.
    */
   readonly digest?: string;
 }
 
-/** The head of an answer to an attempt. */
+/** Status and signal headers of an answer to an attempt. */
 export interface AttemptAnswer {
   readonly status: number;
-  /** Undefined where the peer is no node. */
+  /** Undefined where a backend server answered. */
   readonly outcome: CallOutcome | undefined;
+  /** Unused retry tokens that the answer returns. */
   readonly tokens: number;
   readonly isDraining: boolean;
   /** Admission level of the node that answered. */
   readonly level?: AdmissionLevel | undefined;
-  /** Load hint of its backend server, whole per cent. */
+  /** Load hint of that node's backend server, in whole per cent. */
   readonly hintedLoad?: number | undefined;
 }
 
-/** Whose timer fired. */
+/** Identifies a timer. */
 export interface TimerKey {
   readonly owner: "entry" | "served" | "claim";
-  /** Exchange id or attempt id. */
+  /** Exchange id of an entry call, else attempt id. */
   readonly id: string;
 }
 
-/** What happens at a node. */
+/** Input of the node's reducer. */
 export type NodeEvent =
   | CallReceived
   | {
@@ -80,38 +84,41 @@
   | {
     readonly type: "AttemptFailed";
     readonly attemptId: string;
-    /** False only where the peer provably saw nothing of the request. */
+    /** False only where the peer provably received no byte of the request. */
     readonly isSent: boolean;
     readonly reason: string;
-    /** Whether the peer broke the connection. */
+    /** Whether the peer reset the connection. */
     readonly isReset?: boolean;
   }
-  /** Answers `ProbeBackend`. */
+  /** Result of `ProbeBackend`. */
   | { readonly type: "BackendProbed"; readonly isAlive: boolean }
-  /** The whole answer to an attempt that was sent with `collectBytes`. */
+  /** The complete answer to an attempt that was sent with `collectBytes`. */
   | {
     readonly type: "AnswerCollected";
     readonly attemptId: string;
     readonly status: number;
-    /** Undefined where the body is over `collectBytes`. */
+    /** Undefined where the body exceeds `collectBytes`. */
     readonly answer: StoredAnswer | undefined;
   }
+  /** The answer was relayed to its end. */
   | { readonly type: "AttemptEnded"; readonly attemptId: string }
+  /** The answer ended before it was complete. */
   | { readonly type: "AnswerCut"; readonly attemptId: string }
-  /** No byte of a relayed answer for a spell, though the caller reads. */
+  /** No byte of a relayed answer came between two checks, though it is read. */
   | {
     readonly type: "AnswerQuiet";
     readonly attemptId: string;
-    /** Whether bytes came since the last event of this type. */
+    /** Whether bytes arrived since the previous event of this type. */
     readonly isNew: boolean;
   }
-  /** Whoever called takes no byte of a relayed answer, or goes on. */
+  /** The receiver of a relayed answer stopped reading it, or reads again. */
   | {
     readonly type: "AnswerBlocked";
     readonly attemptId: string;
     readonly isBlocked: boolean;
   }
   | { readonly type: "CallerLeft"; readonly exchangeId: string }
+  /** A body of unknown length exceeded its limit while it was sent. */
   | {
     readonly type: "BodyLimitPassed";
     readonly exchangeId: string;
@@ -124,78 +131,84 @@
   }
   | { readonly type: "HolderSetsReceived"; readonly sets: HolderSets }
   | { readonly type: "DrainRequested" }
-  /** Comes every `TICK_MS`. */
+  /** Occurs every `TICK_MS`. */
   | { readonly type: "Ticked" }
+  /** Another node sent a message that needs a reply. */
   | {
     readonly type: "PeerAsked";
+    /** Identifies the message for `AnswerPeer`. */
     readonly askId: number;
     readonly message: PeerMessage;
   }
-  /** `reply` is undefined where none came in time. */
+  /** Result of `AskPeer`. */
   | {
     readonly type: "PeerReplied";
     readonly requestId: string;
+    /** Undefined where no reply arrived before the timeout. */
     readonly reply: PeerReply | undefined;
   }
   | HintReceived
   | RoutingEvent;
 
-/** How often a node ticks, in milliseconds. */
+/** Interval of `Ticked`. */
 export const TICK_MS = 100;
 
-/** Headers that the system adds, by lower-case name. */
+/** Headers that a node adds to an answer, by lower-case name. */
 export type SignalHeaders = Readonly<Record<string, string>>;
 
-/** An answer that the node itself gives. */
+/** Sends an answer that the node itself generates. */
 export interface AnswerCall {
   readonly type: "AnswerCall";
   readonly exchangeId: string;
   readonly status: number;
   readonly headers: SignalHeaders;
-  /** One sentence for a person. */
+  /** One human-readable sentence; the body of the answer. */
   readonly message: string;
 }
 
-/** What a node does about it. */
+/** Side effect that the node's reducer requests. */
 export type NodeEffect =
   | AnswerCall
   | {
     readonly type: "SendAttempt";
     readonly exchangeId: string;
     readonly attemptId: string;
-    /** `host:port` of the other node's ingress or of the backend server. */
+    /** `host:port` of the other node's ingress, or of the backend server. */
     readonly address: string;
     readonly peer: "node" | "backend";
     readonly context: CallContext;
-    /** Longest body, in bytes. */
+    /** Limit of the request body, in bytes. */
     readonly maxBodyBytes: number;
-    /** Set where the answer is to be held whole, up to so many bytes. */
+    /** Buffers the whole answer, up to this many bytes; else it is streamed. */
     readonly collectBytes?: number;
   }
-  /** Puts a kept answer in place of the one that an attempt would bring. */
+  /** Supplies a stored answer in place of the backend server's. */
   | {
     readonly type: "ProvideAnswer";
     readonly attemptId: string;
     readonly answer: StoredAnswer;
   }
+  /** Cancels an attempt; it yields no further events. */
   | { readonly type: "AbortAttempt"; readonly attemptId: string }
+  /** Reads an unwanted answer to its end, so that its connection can be reused. */
   | { readonly type: "DiscardAnswer"; readonly attemptId: string }
-  /** Later attempts at `address` use new connections. */
+  /** Retires open connections: later attempts at `address` use new ones. */
   | { readonly type: "DropConnections"; readonly address: string }
+  /** Streams the answer of an attempt to the caller. */
   | {
     readonly type: "RelayAnswer";
     readonly exchangeId: string;
     readonly attemptId: string;
     readonly headers: SignalHeaders;
   }
-  /** Tries whether the local backend server takes a new connection. */
+  /** Tests whether the local backend server accepts a new connection. */
   | { readonly type: "ProbeBackend"; readonly address: string }
-  /** Breaks the connection, so that a cut answer can't look whole. */
+  /** Breaks the caller's connection, so that a cut answer can't seem complete. */
   | { readonly type: "DropExchange"; readonly exchangeId: string }
   | {
     readonly type: "StartTimer";
     readonly key: TimerKey;
-    /** Wall clock in milliseconds. */
+    /** Wall-clock time in milliseconds. */
     readonly atMs: number;
   }
   | { readonly type: "StopTimer"; readonly key: TimerKey }
@@ -209,20 +222,22 @@
   }
   | {
     readonly type: "AskPeer";
-    /** Comes back with the reply. */
+    /** Correlates the reply, `PeerReplied`. */
     readonly requestId: string;
     /** `host:port` of the other node's ingress. */
     readonly address: string;
     readonly message: PeerMessage;
     readonly timeoutMs: number;
-    /** Whether a connection of its own is opened for it. */
+    /** Whether to open a new connection for this message alone. */
     readonly isFresh: boolean;
   }
-  /** Tells control that the records of an older epoch are copied. */
+  /** Reports to control that the records of an older epoch are copied. */
   | {
     readonly type: "ReportCopied";
     readonly service: string;
     readonly epoch: number;
   }
+  /** Confirms to control which table version is in force. */
   | { readonly type: "ConfirmTable"; readonly version: number }
+  /** Adds an event to the node's time line. */
   | { readonly type: "RecordEvent"; readonly event: TimelineEvent };
--- a/src/engine/call/common/call_level.ts
+++ b/src/engine/call/common/call_level.ts
@@ -1,4 +1,7 @@
-/** Admission levels of calls: what is said on answers, what is refused early. */
+/**
+ * Admission levels of calls: which level answers report, and which calls are
+ * refused early, before any work is done for them.
+ */
 import { setEntry } from "../../../base/common/maps.ts";
 import { pickHigherLevel } from "../../admission/common/admission_level.ts";
 import type { AdmissionLevel } from "../../admission/common/admission_level.ts";
@@ -10,14 +13,18 @@
 } from "../../admission/common/level_view.ts";
 import type { EntryCall, NodeState } from "./node_state.ts";
 
-/** Which kinds the local backend server calls for a kind, and until when. */
+/**
+ * Kinds of request that the local backend server calls while it serves a kind,
+ * each with its expiry on the wall clock in milliseconds.
+ */
 export type CalleeView = ReadonlyMap<string, ReadonlyMap<string, number>>;
 
-/** A kind that isn't called for so long is no longer counted as called. */
+/** Time after its last call at which a kind no longer counts as called. */
 export const CALLEE_TTL_MS = 10_000;
+/** Age at which an expiry is renewed, so that few calls copy the map. */
 const CALLEE_RENEWAL_MS = 1_000;
 
-/** Notes that the local backend server calls `callee` to serve `kind`. */
+/** Records that the local backend server calls `callee` to serve `kind`. */
 export function recordCallee(
   state: NodeState,
   call: { readonly kind: string; readonly callee: string },
@@ -30,14 +37,15 @@
     return state;
   }
   const renewed = setEntry(called, callee, expiresAtMs);
-  const live = new Map([...renewed].filter(([, atMs]) => atMs > nowMs));
-  return { ...state, callees: setEntry(state.callees, kind, live) };
+  const unexpired = new Map([...renewed].filter(([, atMs]) => atMs > nowMs));
+  return { ...state, callees: setEntry(state.callees, kind, unexpired) };
 }
 
 /**
- * Quotes the level that answers to a kind carry: the higher one of this
- * node's admission and of the services called for the kind. So a root request
- * that is shed deep in a chain is refused before work goes into it.
+ * Computes the level that answers to a kind report: the highest of this node's
+ * own admission level and those of the services called for the kind. A root
+ * request that would be shed deep in a call chain is thus refused before any
+ * work is done for it.
  */
 export function computeReportedLevel(
   state: NodeState,
@@ -65,7 +73,10 @@
   return level;
 }
 
-/** Whether a call that has cost nothing yet is under the admission level. */
+/**
+ * Whether a root request ranks below the admission level of its service. Only
+ * before its first attempt: later, refusing it would waste the work done.
+ */
 export function isShed(
   state: NodeState,
   call: EntryCall,
@@ -94,7 +105,7 @@
   }, nowMs);
 }
 
-/** Those that this node sends to; of the others it never hears a level. */
+/** Lists the members that this node sends to: only their levels are known. */
 function listMembers(state: NodeState, service: string): readonly string[] {
   const views = state.routing.services.get(service)?.views ?? [];
   return views.map((view) => view.announcement.nodeId);
--- a/src/engine/call/common/downstream_time.ts
+++ b/src/engine/call/common/downstream_time.ts
@@ -1,9 +1,9 @@
-/** How long served attempts waited for the calls that they made. */
+/** Time that served attempts spend waiting for the calls that they made. */
 import type { NodeState, ServedCall } from "./node_state.ts";
 
 /**
- * Notes which served attempts began or ended to wait for calls of their own
- * in a step of the node. Calls made at once count once.
+ * Records which served attempts started or stopped waiting for calls of their
+ * own in a step of the node. Time that concurrent calls share counts once.
  */
 export function updateDownstreamTime(
   before: NodeState,
@@ -33,7 +33,7 @@
     : { ...after, served: new Map([...after.served, ...changed]) };
 }
 
-/** Computes the time that an attempt waited for its own calls until now. */
+/** Computes the total time that an attempt has waited for its own calls. */
 export function computeDownstreamMs(call: ServedCall, nowMs: number): number {
   const openMs = nowMs - (call.downstreamSinceMs ?? nowMs);
   return (call.downstreamMs ?? 0) + openMs;
--- a/src/engine/call/common/entry_ask.ts
+++ b/src/engine/call/common/entry_ask.ts
@@ -1,4 +1,4 @@
-/** Asks receivers about attempts that are quiet or whose connection failed. */
+/** Requests the status of attempts that stalled or lost their connection. */
 import {
   appendEffects,
   createReduction,
@@ -9,20 +9,22 @@
 import type { Attempt, EntryCall, NodeState } from "./node_state.ts";
 import type { NodeStep } from "./served_types.ts";
 
-/** An attempt without a head is asked about after this spell. */
+/** Time without a sign of progress after which a status is requested. */
 export const STATUS_DELAY_MS = 1_000;
-/** Part of a kind's timeout after which it is asked about, where shorter. */
+/** The same as a part of the kind's timeout, where that is shorter. */
 const STATUS_DELAY_RATIO = 1 / 3;
-/** Part of its spell after which an attempt goes along in a question. */
+/** Part of that time after which an attempt joins a request that is due. */
 const BATCHED_STATUS_RATIO = 1 / 2;
-/** Most attempts in one question. */
 const MAX_ATTEMPTS_PER_REQUEST = 512;
-/** Begins the request ids of these questions; attempt ids follow. */
+/** Prefix of the ids of status requests; attempt ids follow. */
 const STATUS_REQUEST_PREFIX = "attempts:";
-/** Parts the attempt ids: no id has one. */
+/** Separates the attempt ids, which never contain it. */
 const ID_SEPARATOR = ",";
 
-/** Marks an attempt as asked about, and asks on a new connection. */
+/**
+ * Requests the status of an attempt on a new connection, unless a request for
+ * it is pending. `change` updates the attempt.
+ */
 export function requestAttemptStatus(
   state: NodeState,
   exchangeId: string,
@@ -39,25 +41,27 @@
 }
 
 /**
- * Asks about the attempts that have been quiet for a spell, in one question
- * to each receiver. Those that have been quiet for half of it go along, so
- * that a slow receiver is not asked more than twice in a spell.
+ * Requests the status of stalled attempts, in one request to each receiver.
+ * Attempts that have stalled for half the delay join it, so that a slow
+ * receiver gets at most two requests within one delay.
  */
 export function detectStalledAttempts(
   state: NodeState,
   nowMs: number,
 ): NodeStep {
   const calls = [...state.entries.values()];
-  const quiet = calls.filter((call) => isStatusDue(state, call, nowMs, 1));
-  if (quiet.length === 0) {
+  const stalled = calls.filter((call) => isStatusDue(state, call, nowMs, 1));
+  if (stalled.length === 0) {
     return createReduction(state);
   }
-  const receivers = new Set(quiet.map((call) => formatReceiver(call.attempt!)));
-  const asked = calls.filter((call) =>
+  const receivers = new Set(
+    stalled.map((call) => formatReceiver(call.attempt!)),
+  );
+  const due = calls.filter((call) =>
     isStatusDue(state, call, nowMs, BATCHED_STATUS_RATIO) &&
     receivers.has(formatReceiver(call.attempt!))
   );
-  return requestStatuses(state, asked, nowMs);
+  return requestStatuses(state, due, nowMs);
 }
 
 function requestStatuses(
@@ -69,20 +73,20 @@
   let next = state;
   for (const call of calls) {
     const attempt: Attempt = { ...call.attempt!, isAsked: true };
-    const name = formatReceiver(attempt);
-    const group = groups.get(name) ?? [];
+    const receiver = formatReceiver(attempt);
+    const group = groups.get(receiver) ?? [];
     if (group.length < MAX_ATTEMPTS_PER_REQUEST) {
-      groups.set(name, [...group, attempt]);
+      groups.set(receiver, [...group, attempt]);
       next = replaceAttempt(next, call, attempt);
     }
   }
-  const asks = [...groups.values()].map((group) =>
+  const requests = [...groups.values()].map((group) =>
     createStatusRequest(group, nowMs)
   );
-  return createReduction(next, asks);
+  return createReduction(next, requests);
 }
 
-/** Replaces the attempt that a call waits for or relays. */
+/** Replaces the attempt that a call waits for, or whose answer it relays. */
 export function replaceAttempt(
   state: NodeState,
   call: EntryCall,
@@ -93,14 +97,14 @@
     : putEntry(state, { ...call, attempt });
 }
 
-/** Returns the attempts that a question was about; none of another's. */
+/** Parses the attempt ids of a status request; empty for other requests. */
 export function parseStatusRequestId(requestId: string): readonly string[] {
   return requestId.startsWith(STATUS_REQUEST_PREFIX)
     ? requestId.slice(STATUS_REQUEST_PREFIX.length).split(ID_SEPARATOR)
     : [];
 }
 
-/** Marks the connections to a receiver as not to be used again. */
+/** Cancels an attempt and retires the connections to its receiver. */
 export function dropConnections(step: NodeStep, attempt: Attempt): NodeStep {
   const { attemptId, address } = attempt;
   return appendEffects(
@@ -110,37 +114,37 @@
   );
 }
 
-/** The spell after which the attempts of a call are asked about. */
+/** Computes the time after which the status of an attempt is requested. */
 export function computeStatusDelayMs(call: EntryCall): number {
   return Math.min(STATUS_DELAY_MS, call.row.timeoutMs * STATUS_DELAY_RATIO);
 }
 
-/** Whether an attempt has been quiet for `share` of its spell. */
+/** Whether an attempt has stalled for `ratio` of its status delay. */
 function isStatusDue(
   state: NodeState,
   call: EntryCall,
   nowMs: number,
-  share: number,
+  ratio: number,
 ): boolean {
   const { attempt } = call;
   return attempt !== undefined && !attempt.isAsked &&
     attempt.nodeId !== state.self.nodeId &&
-    nowMs - attempt.heardAtMs >= share * computeStatusDelayMs(call);
+    nowMs - attempt.heardAtMs >= ratio * computeStatusDelayMs(call);
 }
 
-/** One process at one address. */
+/** Identifies a receiving process by its address and incarnation. */
 function formatReceiver({ address, incarnation }: Attempt): string {
   return `${address} ${incarnation}`;
 }
 
-/** Asks one receiver about attempts that were all sent to it. */
+/** Creates the status request for attempts that have the same receiver. */
 function createStatusRequest(
   attempts: readonly Attempt[],
   nowMs: number,
 ): NodeEffect {
   const { address, incarnation } = attempts[0]!;
   const ids = attempts.map(({ attemptId }) => attemptId);
-  const asked = attempts.map(({ attemptId, startedAtMs }) => ({
+  const queried = attempts.map(({ attemptId, startedAtMs }) => ({
     attemptId,
     ageMs: nowMs - startedAtMs,
   }));
@@ -148,7 +152,7 @@
     type: "AskPeer",
     requestId: `${STATUS_REQUEST_PREFIX}${ids.join(ID_SEPARATOR)}`,
     address,
-    message: { type: "FenceAttempts", incarnation, attempts: asked },
+    message: { type: "FenceAttempts", incarnation, attempts: queried },
     timeoutMs: ASK_TIMEOUT_MS,
     isFresh: true,
   };
--- a/src/engine/call/common/entry_attempts.ts
+++ b/src/engine/call/common/entry_attempts.ts
@@ -1,4 +1,4 @@
-/** Attempts of entry calls: choose, send, settle, retry or end. */
+/** Attempts of entry calls: selects backend servers, sends, retries and ends. */
 import { setEntry } from "../../../base/common/maps.ts";
 import {
   appendEffects,
@@ -40,9 +40,10 @@
 import { recordServiceUse } from "./subscription_step.ts";
 import type { LocalResult, NodeStep, ServedDeps } from "./served_types.ts";
 
-/** Status of a node whose backend server did not answer. */
+/** Status that a node answers with when its backend server did not answer. */
 const BACKEND_FAILED_STATUS = 502;
-/** Chooses a backend server for the call and sends an attempt. */
+
+/** Selects a backend server for the call and sends an attempt. */
 export function tryAttempt(
   before: NodeState,
   exchangeId: string,
@@ -74,7 +75,7 @@
   return sendAttempt(state, call, { attemptId, backend }, nowMs);
 }
 
-/** The head of an answer to a remote attempt has arrived. */
+/** Handles the head of an answer to the current attempt: retries or relays. */
 export function answerEntry(
   state: NodeState,
   exchangeId: string,
@@ -106,15 +107,15 @@
     tokens: answer.tokens,
     isNotRun: isRefused,
   });
-  const isFree = answer.isDraining && canReroute(next, exchangeId);
-  if (isRefused && isFree) {
+  const mayReroute = answer.isDraining && canReroute(next, exchangeId);
+  if (isRefused && mayReroute) {
     const discard: NodeEffect = { type: "DiscardAnswer", attemptId };
     const step = createReduction<NodeState, NodeEffect>(next, [discard]);
     return chainReduction(step, (s) => rerouteEntry(s, exchangeId, nowMs));
   }
-  const isLost = outcome === "unknown" &&
+  const isBackendFailure = outcome === "unknown" &&
     answer.status === BACKEND_FAILED_STATUS;
-  if ((isRefused || isLost) && canRetry(next, exchangeId, nowMs)) {
+  if ((isRefused || isBackendFailure) && canRetry(next, exchangeId, nowMs)) {
     const discard: NodeEffect = { type: "DiscardAnswer", attemptId };
     const step = createReduction<NodeState, NodeEffect>(next, [discard]);
     return chainReduction(step, (s) => retryEntry(s, exchangeId, nowMs));
@@ -122,7 +123,10 @@
   return relayAnswer(next, call, call.attempt, answer);
 }
 
-/** A remote attempt brought no answer. */
+/**
+ * Handles the failure of a remote attempt. One that may have run, and may not
+ * be repeated, is settled only once its receiver reports its status.
+ */
 export function failEntry(
   state: NodeState,
   exchangeId: string,
@@ -141,13 +145,13 @@
   return requestAttemptStatus(state, exchangeId, { isBroken: true }, nowMs);
 }
 
-/** Ends an attempt without an answer: retries, or ends the call. */
+/** Ends an attempt that got no answer, then retries or ends the call. */
 export function settleFailure(
   state: NodeState,
   exchangeId: string,
   settled: {
     readonly isNotRun: boolean;
-    /** Whether the connection was refused. */
+    /** Whether no connection could be made. */
     readonly isUnsent?: boolean;
     readonly reason: string;
   },
@@ -171,7 +175,7 @@
   }, nowMs);
 }
 
-/** An attempt at this node's own backend server came to a result. */
+/** Applies the result of an attempt at this node's own backend server. */
 export function settleLocal(
   state: NodeState,
   attemptId: string,
@@ -200,7 +204,7 @@
   return retryOrEnd(next, exchangeId, result.answer, nowMs);
 }
 
-/** The time of a call is over. */
+/** Ends a call whose deadline has passed; one that relays an answer goes on. */
 export function expireEntry(
   state: NodeState,
   exchangeId: string,
@@ -221,11 +225,12 @@
   });
 }
 
-/** Creates what the served steps need. */
+/** Creates the dependencies of the steps of served attempts. */
 export function createServedDeps(nowMs: number): ServedDeps {
   return { nowMs, settleLocal, cancelChildren };
 }
 
+/** Refuses a call that ranks below the admission level of its service. */
 function refuseEarly(state: NodeState, call: EntryCall): NodeStep {
   const { exchangeId, context, row } = call;
   const step = endWithAnswer(state, exchangeId, {
@@ -249,10 +254,10 @@
 function sendAttempt(
   state: NodeState,
   call: EntryCall,
-  chosen: { readonly attemptId: string; readonly backend: BackendView },
+  selected: { readonly attemptId: string; readonly backend: BackendView },
   nowMs: number,
 ): NodeStep {
-  const { attemptId, backend } = chosen;
+  const { attemptId, backend } = selected;
   const { nodeId, service, ingress, incarnation } = backend.announcement;
   const { exchangeId, row } = call;
   const { share, pool } = takeShare(call.pool);
@@ -310,6 +315,7 @@
   });
 }
 
+/** Requests admission of an attempt at this node's own backend server. */
 function admitLocal(
   state: NodeState,
   call: EntryCall,
@@ -344,6 +350,7 @@
   return endWithAnswer(state, exchangeId, { ...answer, outcome });
 }
 
+/** Spends a retry token on the next attempt. */
 function retryEntry(
   state: NodeState,
   exchangeId: string,
@@ -355,6 +362,7 @@
   return tryAttempt(next, exchangeId, nowMs);
 }
 
+/** Sends the next attempt without a retry token; see `MAX_REROUTES`. */
 function rerouteEntry(
   state: NodeState,
   exchangeId: string,
--- a/src/engine/call/common/entry_cancel.ts
+++ b/src/engine/call/common/entry_cancel.ts
@@ -1,4 +1,4 @@
-/** Cancels entry calls and all that goes on below them. */
+/** Cancels entry calls and the calls below them. */
 import {
   appendEffects,
   chainReduction,
@@ -9,7 +9,7 @@
 import { cancelServed } from "./served_reducer.ts";
 import type { NodeStep, ServedDeps } from "./served_types.ts";
 
-/** Cancels the attempt of a call, wherever it runs. */
+/** Cancels the attempt of a call, local or remote. */
 export function abortAttempt(
   state: NodeState,
   exchangeId: string,
@@ -21,7 +21,7 @@
     return createReduction(state);
   }
   const served = state.served.get(attemptId);
-  // A local attempt in the queue: the backend server saw nothing of it.
+  // A local attempt that is still queued has not reached the backend server.
   const isNotRun = served?.phase === "queued";
   const report = { result: "cancelled", isDraining: false } as const;
   const next = call.attempt === undefined ? state : settleAttempt(
@@ -34,7 +34,7 @@
     : cancelServed(next, attemptId, deps);
 }
 
-/** The caller hung up: everything below is cancelled. */
+/** Cancels a call whose caller disconnected, with everything below it. */
 export function cancelEntry(
   state: NodeState,
   exchangeId: string,
@@ -65,6 +65,7 @@
   );
 }
 
+/** Returns the attempt that a call waits for, or whose answer it relays. */
 function findAttemptId(call: EntryCall): string | undefined {
   if (call.attempt !== undefined) {
     return call.attempt.attemptId;
--- a/src/engine/call/common/entry_open.ts
+++ b/src/engine/call/common/entry_open.ts
@@ -1,4 +1,4 @@
-/** Opens entry calls: a root at the edge, a child at the egress. */
+/** Opens entry calls: root requests at the edge, child calls at the egress. */
 import { setEntry } from "../../../base/common/maps.ts";
 import {
   appendEffects,
@@ -22,6 +22,7 @@
 import { checkResend } from "./resend_step.ts";
 import type { NodeStep } from "./served_types.ts";
 
+/** Result of opening a call: its context, or an answer that rejects it. */
 type OpenResult =
   | {
     readonly type: "Opened";
@@ -31,7 +32,7 @@
   }
   | { readonly type: "Rejected"; readonly answer: OwnAnswer };
 
-/** Takes a call from a caller (edge) or the local backend server (egress). */
+/** Receives a call from a caller (edge) or the local backend server (egress). */
 export function receiveEntry(
   state: NodeState,
   received: CallReceived,
@@ -162,7 +163,10 @@
   return { type: "Opened", state, context, parentId: undefined };
 }
 
-/** Weight of a kind over the greatest of its service and importance. */
+/**
+ * Computes the weight of a kind relative to the greatest weight among the kinds
+ * of the same service and importance.
+ */
 function computeRelativeWeight(state: NodeState, row: TableRow): number {
   const { service, importance, weight } = row;
   const weights = state.table.rows
@@ -171,7 +175,10 @@
   return weight / Math.max(weight, ...weights);
 }
 
-/** A call of the local backend server draws on the attempt that it serves. */
+/**
+ * Opens a call of the local backend server. It gets its deadline and a share of
+ * the retry tokens from the served attempt that made it.
+ */
 function openChild(
   state: NodeState,
   received: CallReceived,
@@ -211,6 +218,7 @@
   return { type: "Opened", state: next, context, parentId: parent.attemptId };
 }
 
+/** Answers a call that was not opened. */
 function answerImmediately(
   state: NodeState,
   received: CallReceived,
--- a/src/engine/call/common/entry_reducer.ts
+++ b/src/engine/call/common/entry_reducer.ts
@@ -1,4 +1,4 @@
-/** Entry calls from outside: members listed, answers ended. */
+/** Entry calls that resume once members are known, or end with their answer. */
 import {
   appendEffects,
   chainReduction,
@@ -9,7 +9,7 @@
 import type { NodeState } from "./node_state.ts";
 import type { NodeStep } from "./served_types.ts";
 
-/** Members of `service` are known now: calls that waited for them go on. */
+/** Resumes the calls that waited for the members of `service`. */
 export function resumeEntries(
   state: NodeState,
   service: string,
@@ -25,7 +25,7 @@
   );
 }
 
-/** The relayed answer went through whole, or was cut. */
+/** Ends a call whose relayed answer is complete, or was cut. */
 export function endEntry(
   state: NodeState,
   exchangeId: string,
--- a/src/engine/call/common/entry_reply.ts
+++ b/src/engine/call/common/entry_reply.ts
@@ -1,4 +1,4 @@
-/** What receivers say of attempts that were asked about, and what follows. */
+/** Applies the status replies of receivers to the attempts in question. */
 import {
   appendEffects,
   chainReduction,
@@ -24,7 +24,11 @@
 type AnswerQuiet = Extract<NodeEvent, { type: "AnswerQuiet" }>;
 type PeerReplied = Extract<NodeEvent, { type: "PeerReplied" }>;
 
-/** What a reply shows of an attempt. */
+/**
+ * Status of an attempt according to a reply: `lives` is queued or running,
+ * `relays` is sending its answer, `answered` has sent all that this node would
+ * read, `forgotten` is unknown to its receiver, `silent` stands for no reply.
+ */
 type AttemptStatus =
   | "lives"
   | "relays"
@@ -33,12 +37,12 @@
   | "forgotten"
   | "silent";
 
-/** Replies without a sign of life after which an attempt is given up. */
+/** Consecutive replies without progress after which an attempt is abandoned. */
 const MAX_MISSED_STATUSES = 2;
-/** How long an answer that is on its way may take, in milliseconds. */
+/** Time for an answer in transit before the status is requested again. */
 const ANSWER_GRACE_MS = 250;
 
-/** The receiver of attempts replied, or did not. */
+/** Applies the reply to a status request, or its timeout, to each attempt. */
 export function applyStatusReply(
   state: NodeState,
   replied: PeerReplied,
@@ -49,8 +53,8 @@
   return parseStatusRequestId(requestId).reduce<NodeStep>(
     (step, attemptId, index) =>
       chainReduction(step, (next) => {
-        const finding = getStatus(found[index]);
-        return applyStatus(next, { attemptId, finding }, nowMs);
+        const status = getStatus(found[index]);
+        return applyStatus(next, { attemptId, status }, nowMs);
       }),
     createReduction(state),
   );
@@ -58,32 +62,32 @@
 
 function applyStatus(
   state: NodeState,
-  found: { readonly attemptId: string; readonly finding: AttemptStatus },
+  found: { readonly attemptId: string; readonly status: AttemptStatus },
   nowMs: number,
 ): NodeStep {
-  const { attemptId, finding } = found;
+  const { attemptId, status } = found;
   const exchangeId = state.entryOfAttempt.get(attemptId);
   const call = state.entries.get(exchangeId ?? "");
   const attempt = call?.attempt ?? call?.relayed;
   if (call === undefined || attempt?.attemptId !== attemptId) {
     return createReduction(state);
   }
-  const heard: Attempt = { ...attempt, isAsked: false };
+  const checked: Attempt = { ...attempt, isAsked: false };
   if (call.attempt === undefined) {
-    return settleStalledAnswer(state, call, { heard, finding });
+    return settleStalledAnswer(state, call, { checked, status });
   }
   return attempt.isBroken
-    ? settleBrokenAttempt(state, call.exchangeId, finding, nowMs)
-    : settleStalledAttempt(state, call, { heard, finding }, nowMs);
+    ? settleBrokenAttempt(state, call.exchangeId, status, nowMs)
+    : settleStalledAttempt(state, call, { checked, status }, nowMs);
 }
 
-/** A relayed answer stands still: its receiver is asked whether it goes on. */
+/** Requests the status of a remote attempt whose relayed answer has stalled. */
 export function handleStalledAnswer(
   state: NodeState,
-  quiet: AnswerQuiet,
+  stalled: AnswerQuiet,
   nowMs: number,
 ): NodeStep {
-  const { attemptId, isNew } = quiet;
+  const { attemptId, isNew } = stalled;
   const exchangeId = state.entryOfAttempt.get(attemptId);
   const call = state.entries.get(exchangeId ?? "");
   const isRemote = call?.relayed?.attemptId === attemptId &&
@@ -119,46 +123,52 @@
   }
 }
 
-/** The connection failed: only proof that it did not run helps. */
+/**
+ * Settles an attempt whose connection failed. Only proof that it did not run
+ * allows a retry.
+ */
 function settleBrokenAttempt(
   state: NodeState,
   exchangeId: string,
-  finding: AttemptStatus,
+  status: AttemptStatus,
   nowMs: number,
 ): NodeStep {
-  const isNotRun = finding === "not-run";
+  const isNotRun = status === "not-run";
   const reason = isNotRun
     ? "Connection failed; the attempt did not run"
     : "Connection failed after the request was sent";
   return settleFailure(state, exchangeId, { isNotRun, reason }, nowMs);
 }
 
-/** The attempt is quiet: it lives, or is given up with what is known. */
+/**
+ * Settles an attempt without an answer: it continues while it runs, else it is
+ * abandoned with the outcome that the status proves.
+ */
 function settleStalledAttempt(
   state: NodeState,
   call: EntryCall,
-  asked: { readonly heard: Attempt; readonly finding: AttemptStatus },
+  reported: { readonly checked: Attempt; readonly status: AttemptStatus },
   nowMs: number,
 ): NodeStep {
-  const { heard, finding } = asked;
-  if (finding === "lives") {
-    const alive: Attempt = { ...heard, heardAtMs: nowMs, misses: 0 };
-    return createReduction(replaceAttempt(state, call, alive));
+  const { checked, status } = reported;
+  if (status === "lives") {
+    const confirmed: Attempt = { ...checked, heardAtMs: nowMs, misses: 0 };
+    return createReduction(replaceAttempt(state, call, confirmed));
   }
-  const misses = heard.misses + 1;
-  const isGivenUp = finding === "not-run" || finding === "forgotten" ||
+  const misses = checked.misses + 1;
+  const isAbandoned = status === "not-run" || status === "forgotten" ||
     misses >= MAX_MISSED_STATUSES;
-  if (!isGivenUp) {
-    // An answer may be on its way: asks again shortly.
+  if (!isAbandoned) {
+    // An answer may be in transit: the status is due again after a grace time.
     const heardAtMs = nowMs - computeStatusDelayMs(call) + ANSWER_GRACE_MS;
     return createReduction(
-      replaceAttempt(state, call, { ...heard, heardAtMs, misses }),
+      replaceAttempt(state, call, { ...checked, heardAtMs, misses }),
     );
   }
-  const isNotRun = finding === "not-run";
-  const reason = `Connection is silent; the receiver says ${finding}`;
-  const next = isNotRun ? allowReselection(state, call, heard) : state;
-  const step = dropConnections(createReduction(next), heard);
+  const isNotRun = status === "not-run";
+  const reason = `Connection is silent; the receiver says ${status}`;
+  const next = isNotRun ? allowReselection(state, call, checked) : state;
+  const step = dropConnections(createReduction(next), checked);
   return chainReduction(
     step,
     (s) => settleFailure(s, call.exchangeId, { isNotRun, reason }, nowMs),
@@ -166,8 +176,8 @@
 }
 
 /**
- * The attempt never arrived: the next one stands for it. The node answered on
- * a new connection, so it may be chosen again.
+ * Lets the next attempt replace one that never arrived. The node replied on a
+ * new connection, so it may be selected again.
  */
 function allowReselection(
   state: NodeState,
@@ -179,21 +189,22 @@
 }
 
 /**
- * A relayed answer stands still. It is cut where its receiver is done, waits
- * for this node to read, or can't be reached, at two questions in a row.
+ * Settles a relayed answer that has stalled. It is cut where its receiver has
+ * finished, waits for this node to read, or can't be reached, in
+ * `MAX_MISSED_STATUSES` consecutive replies.
  */
 function settleStalledAnswer(
   state: NodeState,
   call: EntryCall,
-  asked: { readonly heard: Attempt; readonly finding: AttemptStatus },
+  reported: { readonly checked: Attempt; readonly status: AttemptStatus },
 ): NodeStep {
-  const { heard, finding } = asked;
-  const isLive = finding === "lives" || finding === "relays";
-  const misses = isLive ? 0 : heard.misses + 1;
-  if (isLive || misses < MAX_MISSED_STATUSES) {
-    return createReduction(replaceAttempt(state, call, { ...heard, misses }));
+  const { checked, status } = reported;
+  const isActive = status === "lives" || status === "relays";
+  const misses = isActive ? 0 : checked.misses + 1;
+  if (isActive || misses < MAX_MISSED_STATUSES) {
+    return createReduction(replaceAttempt(state, call, { ...checked, misses }));
   }
   const { exchangeId } = call;
-  const step = dropConnections(closeEntry(state, exchangeId), heard);
+  const step = dropConnections(closeEntry(state, exchangeId), checked);
   return appendEffects(step, { type: "DropExchange", exchangeId });
 }
--- a/src/engine/call/common/entry_reroute.ts
+++ b/src/engine/call/common/entry_reroute.ts
@@ -1,23 +1,25 @@
-/** Another try without a retry token, where a node was only leaving. */
+/** Attempts without a retry token, where a node refused because it leaves. */
 import { putEntry } from "./entry_state.ts";
 import type { NodeState } from "./node_state.ts";
 
 /**
- * Free tries of one call. What they replace ran nowhere and cost no slot: a
- * refusal of a draining node, or a connection that was refused. So the work of
- * a call tree stays within its retry tokens, and its attempts within three for
- * each that the tokens allow. Two, because a rolling restart overlaps.
+ * Limit of attempts without a retry token, per call. The attempts that they
+ * replace did not run and took no slot: a draining node refused them, or no
+ * connection could be made. The work of a call tree therefore stays within its
+ * retry tokens, and its attempts within three times what the tokens allow. One
+ * is not enough, because the nodes of a rolling restart overlap.
  */
 export const MAX_REROUTES = 2;
 
-/** Whether a call may go elsewhere for nothing after it was provably not run. */
+/** Whether a call may be sent again without a retry token. */
 export function canReroute(state: NodeState, exchangeId: string): boolean {
   const call = state.entries.get(exchangeId)!;
-  const isHarmless = call.row.idempotent || call.isNotRun;
-  return isHarmless && call.isReplayable && call.rerouteCount < MAX_REROUTES;
+  const isSafeToRepeat = call.row.idempotent || call.isNotRun;
+  return isSafeToRepeat && call.isReplayable &&
+    call.rerouteCount < MAX_REROUTES;
 }
 
-/** Counts a free try. */
+/** Counts an attempt without a retry token. */
 export function recordReroute(state: NodeState, exchangeId: string): NodeState {
   const call = state.entries.get(exchangeId)!;
   return putEntry(state, { ...call, rerouteCount: call.rerouteCount + 1 });
--- a/src/engine/call/common/entry_rules.ts
+++ b/src/engine/call/common/entry_rules.ts
@@ -1,30 +1,34 @@
-/** Rules of attempts: what may be retried, counted, and how long it has. */
+/** Rules for attempts: retries, the retry budget and the time each one gets. */
 import {
   canSendRetry,
   reduceRetryBudget,
 } from "../../retry/common/retry_budget.ts";
 import type { EntryCall, NodeState } from "./node_state.ts";
 
-/** Share of the remaining time that a receiver gets less than its sender. */
+/** Part of the remaining time by which a receiver's deadline is earlier. */
 const HOP_MARGIN_RATIO = 0.05;
-/** Most of that, in milliseconds. */
+/** Upper bound of that margin. */
 const MAX_HOP_MARGIN_MS = 10;
 
-/** A retry needs a token, budget, the whole body, and harmlessness or proof. */
+/**
+ * Whether the call may be retried. A retry needs a token, retry budget, a
+ * buffered body, and an idempotent kind or proof that no attempt has run.
+ */
 export function canRetry(
   state: NodeState,
   exchangeId: string,
   nowMs: number,
 ): boolean {
   const call = state.entries.get(exchangeId)!;
-  const isHarmless = call.row.idempotent || call.isNotRun;
-  // An attempt that never arrived put no load on any backend server.
+  const isSafeToRepeat = call.row.idempotent || call.isNotRun;
+  // Replacing an attempt that never arrived adds no load to backend servers.
   const isInBudget = call.isReplacing === true ||
     canSendRetry(state.retryBudget, nowMs);
-  return isHarmless && call.isReplayable && call.pool.left > 0 && isInBudget;
+  return isSafeToRepeat && call.isReplayable && call.pool.left > 0 &&
+    isInBudget;
 }
 
-/** Whether the call may be tried again though its attempt may have run. */
+/** Whether the call may be retried even if its attempt has run. */
 export function canRetryUnknown(
   state: NodeState,
   exchangeId: string,
@@ -35,8 +39,9 @@
 }
 
 /**
- * The receiver's time ends a little before its sender's, so that its answer,
- * which knows whether the attempt ran, arrives before the sender gives up.
+ * Computes the time that the receiver of the next attempt gets. Its deadline is
+ * slightly earlier than the sender's, so that its answer, which states whether
+ * the attempt ran, arrives before the sender times out.
  */
 export function computeRemainingMs(call: EntryCall, nowMs: number): number {
   const remainingMs = call.deadlineMs - nowMs;
@@ -44,15 +49,19 @@
     Math.min(MAX_HOP_MARGIN_MS, remainingMs * HOP_MARGIN_RATIO);
 }
 
-/** Whether the next attempt may repeat a run, or was called by one that does. */
+/**
+ * Whether the next attempt may repeat an execution, or belongs to an attempt
+ * that does.
+ */
 export function isRepeat(call: EntryCall): boolean {
   return call.context.isRepeat === true ||
     call.attemptCount > 0 && !call.isNotRun;
 }
 
 /**
- * Counts an attempt of the call in the node's retry budget. What a repeated run
- * calls is a repeat too: as a first attempt it would widen the budget.
+ * Counts an attempt of the call in the node's retry budget. Calls that a
+ * repeated execution makes count as retries too: counted as first attempts,
+ * they would enlarge the budget.
  */
 export function countAttempt(
   state: NodeState,
--- a/src/engine/call/common/entry_state.ts
+++ b/src/engine/call/common/entry_state.ts
@@ -1,4 +1,4 @@
-/** Small steps on the entry calls of a node's state. */
+/** State changes of entry calls that several modules share. */
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
 import { returnShare } from "../../retry/common/retry_tokens.ts";
@@ -20,6 +20,7 @@
   return { ...state, routing };
 }
 
+/** Replaces an entry call, and indexes its current attempt. */
 export function putEntry(state: NodeState, call: EntryCall): NodeState {
   const entries = setEntry(state.entries, call.exchangeId, call);
   if (call.attempt === undefined) {
@@ -34,10 +35,11 @@
   return { ...state, entries, entryOfAttempt };
 }
 
+/** Reports the result of the current attempt to the routing view. */
 export function reportAttempt(
   state: NodeState,
   call: EntryCall,
-  seen: Pick<AttemptReport, "result" | "isDraining" | "hintedLoad">,
+  observed: Pick<AttemptReport, "result" | "isDraining" | "hintedLoad">,
   nowMs: number,
 ): NodeState {
   const attempt = call.attempt!;
@@ -46,14 +48,14 @@
     nodeId: attempt.nodeId,
     kind: call.row.kind,
     latencyMs: nowMs - attempt.startedAtMs,
-    result: seen.result,
-    isDraining: seen.isDraining,
-    hintedLoad: seen.hintedLoad,
+    result: observed.result,
+    isDraining: observed.isDraining,
+    hintedLoad: observed.hintedLoad,
   };
   return stepRouting(state, { type: "AttemptFinished", report }, nowMs);
 }
 
-/** Takes the attempt off the call, with the tokens that it gave back. */
+/** Removes the current attempt from its call and returns its unused tokens. */
 export function settleAttempt(
   state: NodeState,
   exchangeId: string,
@@ -74,7 +76,7 @@
   };
 }
 
-/** Notes an open call with the served attempt that made it. */
+/** Registers an open call with the served attempt that made it. */
 export function addChild(
   state: NodeState,
   parentId: string,
@@ -91,14 +93,14 @@
   if (parentId === undefined || children === undefined) {
     return state;
   }
-  const left = children.filter((child) => child !== exchangeId);
-  const childrenOf = left.length === 0
+  const remaining = children.filter((child) => child !== exchangeId);
+  const childrenOf = remaining.length === 0
     ? deleteEntry(state.childrenOf, parentId)
-    : setEntry(state.childrenOf, parentId, left);
+    : setEntry(state.childrenOf, parentId, remaining);
   return { ...state, childrenOf };
 }
 
-/** Forgets a call and gives its unused tokens back to its parent. */
+/** Removes a call and returns its unused tokens to its parent. */
 export function closeEntry(state: NodeState, exchangeId: string): NodeStep {
   const call = state.entries.get(exchangeId)!;
   const key: TimerKey = { owner: "entry", id: exchangeId };
@@ -115,12 +117,13 @@
   if (parent === undefined) {
     return createReduction(next, [stop]);
   }
-  const given = call.context.retryTokens;
-  const pool = returnShare(parent.pool, given, call.pool.left);
+  const granted = call.context.retryTokens;
+  const pool = returnShare(parent.pool, granted, call.pool.left);
   const served = setEntry(next.served, parent.attemptId, { ...parent, pool });
   return createReduction({ ...next, served }, [stop]);
 }
 
+/** Creates the time line event for the end of a call. */
 export function createCallEndedEffect(
   call: EntryCall,
   status: number,
--- a/src/engine/call/common/resend_step.ts
+++ b/src/engine/call/common/resend_step.ts
@@ -1,4 +1,4 @@
-/** Checks a call from outside against its caller's budget of resends. */
+/** Checks a call from outside against its caller's resend budget. */
 import { computeRetryAfter } from "../../admission/common/retry_after.ts";
 import { reduceResendBudget } from "../../retry/common/resend_budget.ts";
 import type { TableRow } from "../../table/common/table_row.ts";
@@ -6,23 +6,25 @@
 import type { CallReceived } from "./call_events.ts";
 import type { NodeState } from "./node_state.ts";
 
-/** What the budget comes to. */
+/** Result of checking a call against the budget. */
 export interface ResendCheck {
   readonly state: NodeState;
-  /** Undefined: the call goes on. */
+  /** Undefined where the call may proceed. */
   readonly refusal: OwnAnswer | undefined;
 }
 
-/** Longer ids aren't remembered, and so never refused. */
+/** In characters; calls with longer ids aren't counted, and so never refused. */
 const MAX_ID_LENGTH = 512;
 
 /**
- * Counts a call against the budget; what names no caller or no id passes.
+ * Counts a call against the budget of its caller. Calls without a caller or an
+ * id pass.
  *
- * This comes after the checks of the row, which cost nothing and whose answer
- * no resend changes, and before the call is opened. Rows that aren't idempotent
- * have no such budget: they are the last work to be refused, a resend of a key
- * never runs again, and whoever lost the first answer needs it.
+ * Runs after the checks against the row, which are cheap and give a resend the
+ * same answer, and before the call is opened. Kinds that aren't idempotent have
+ * no resend budget: they are the last to be refused under overload, a resend
+ * with the same key never runs again, and a caller that lost the first answer
+ * needs the resend to get it.
  */
 export function checkResend(
   state: NodeState,
@@ -51,7 +53,10 @@
   return { state: next, refusal };
 }
 
-/** One id may be on several requests of a caller: the target belongs to it. */
+/**
+ * Returns an id that is the same in each resend. It includes the request's
+ * target, as a caller may use one id for requests to several targets.
+ */
 function getResendId(received: CallReceived): string | undefined {
   const { method, path, requestKey, requestId } = received;
   const name = requestKey === undefined
