--- a/src/engine/call/common/call_events.ts
+++ b/src/engine/call/common/call_events.ts
@@ -190,7 +190,7 @@
   }
   /** Cancels an attempt; it yields no further events. */
   | { readonly type: "AbortAttempt"; readonly attemptId: string }
-  /** Reads an unwanted answer to its end, so that its connection can be reused. */
+  /** Reads an unwanted answer to its end, to reuse its connection. */
   | { readonly type: "DiscardAnswer"; readonly attemptId: string }
   /** Retires open connections: later attempts at `address` use new ones. */
   | { readonly type: "DropConnections"; readonly address: string }
@@ -203,7 +203,7 @@
   }
   /** Tests whether the local backend server accepts a new connection. */
   | { readonly type: "ProbeBackend"; readonly address: string }
-  /** Breaks the caller's connection, so that a cut answer can't seem complete. */
+  /** Breaks the caller's connection, lest a cut answer seem complete. */
   | { readonly type: "DropExchange"; readonly exchangeId: string }
   | {
     readonly type: "StartTimer";
--- a/src/engine/call/common/claim_steps.ts
+++ b/src/engine/call/common/claim_steps.ts
@@ -1,4 +1,7 @@
-/** Steps that at most once adds to a served attempt's life. */
+/**
+ * Claims of served attempts. A claim lets at most one attempt run for an
+ * idempotency key; its holders are the nodes that store and vote on it.
+ */
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { Reduction } from "../../../base/common/reduction.ts";
 import {
@@ -20,7 +23,7 @@
 
 const HOLDERS_UNKNOWN_RETRY_MS = 1_000;
 
-/** Answer to a request whose service has no holders yet. */
+/** Answer to a request with a key, while the holders are not known. */
 export const HOLDERS_UNKNOWN: OwnAnswer = {
   status: 503,
   outcome: "not-run",
@@ -28,7 +31,7 @@
   retryAfterMs: HOLDERS_UNKNOWN_RETRY_MS,
 };
 
-/** Checks a request's key against its row; undefined where it will do. */
+/** Checks a request's key against its row; undefined where it is valid. */
 export function checkKey(
   row: TableRow,
   requestKey: RequestKey | undefined,
@@ -46,18 +49,18 @@
   return undefined;
 }
 
-/** Whether an attempt may run only with its key's holders behind it. */
+/** Whether an attempt may run only after it wins the claim on its key. */
 export function isClaimNeeded(call: ServedCall): boolean {
   const { row, requestKey } = call;
   return !row.idempotent && row.key !== "none" && requestKey !== undefined;
 }
 
-/** Whether an attempt is answered with what an earlier one brought. */
+/** Whether an attempt is answered with the stored answer of an earlier one. */
 export function isReplay(call: ServedCall): boolean {
   return isClaimNeeded(call) && call.collectedStatus === undefined;
 }
 
-/** Asks the holders; undefined where there are none. */
+/** Starts the claim of an attempt; undefined where no holders are known. */
 export function claimServed(
   state: NodeState,
   call: ServedCall,
@@ -69,17 +72,17 @@
   return step && applyClaims(state, step);
 }
 
-/** Whether the holders are still being asked for an attempt. */
+/** Whether the claim of an attempt is still undecided. */
 export function isClaiming(state: NodeState, attemptId: string): boolean {
   return checkClaim(state.claims.own, attemptId) === "claiming";
 }
 
-/** Whether an attempt runs, or has run, with its key's holders behind it. */
+/** Whether an attempt has won its claim: it runs, or has run. */
 export function isClaimWon(state: NodeState, attemptId: string): boolean {
   return hasWon(state.claims.own, attemptId);
 }
 
-/** The backend server saw nothing of an attempt: its claim is given back. */
+/** Releases the claim of an attempt that did not reach the backend server. */
 export function withdrawServedClaim(state: NodeState, attemptId: string): Step {
   const { claims } = state;
   return applyClaims(
@@ -88,7 +91,7 @@
   );
 }
 
-/** An attempt is over: a claim that was never won is given back. */
+/** Ends the claim of an attempt that ended; releases one that was not won. */
 export function endClaim(state: NodeState, attemptId: string): Step {
   const { claims } = state;
   const coordination = claims.own.coordinations.get(attemptId);
@@ -102,13 +105,13 @@
   return createReduction({ ...state, claims: { ...claims, own } });
 }
 
-/** Binds a step that only asks others to the node. */
+/** Applies a step of the claims whose only effects are messages to holders. */
 function applyClaims(
   state: NodeState,
   step: Reduction<NodeClaims, { readonly type: string }>,
 ): Step {
-  const asks = step.effects.filter((effect): effect is NodeEffect =>
+  const requests = step.effects.filter((effect): effect is NodeEffect =>
     effect.type === "AskPeer"
   );
-  return createReduction({ ...state, claims: step.state }, asks);
+  return createReduction({ ...state, claims: step.state }, requests);
 }
--- a/src/engine/call/common/crash_steps.ts
+++ b/src/engine/call/common/crash_steps.ts
@@ -1,4 +1,7 @@
-/** Finds out whether a failed attempt was a crash, and tells of what ran. */
+/**
+ * Decides whether failed attempts are due to a crash of the backend server, and
+ * reports the suspects, the requests that ran then, to the service's nodes.
+ */
 import { deleteEntry } from "../../../base/common/maps.ts";
 import {
   appendEffects,
@@ -37,22 +40,24 @@
 import { isUnsent, refuseServed, sendServed } from "./served_steps.ts";
 import type { NodeStep, ServedDeps } from "./served_types.ts";
 
-/** Ends a served attempt whose failure was held; passed in by the node. */
+/** Ends an attempt whose failure was held back; injected by the reducer. */
 export type SettleHeldFailure = (
   state: NodeState,
   held: HeldFailure,
 ) => NodeStep;
 
+/** Prefix of the request ids of crash reports. */
 const CRASH_NOTICE_PREFIX = `${QUARANTINE_PREFIX}tell/`;
-/** Resets at once that show a crash, though the backend server is back. */
+/** Resets at once that indicate a crash, though the backend server answers. */
 const MIN_SIMULTANEOUS_RESETS = 2;
-/** Most nodes that are told of suspects. */
+/** Limit of the nodes that a crash is reported to. */
 const MAX_NOTIFIED_PEERS = 1_000;
 
 /**
- * An attempt failed at the local backend server. One that was sent is held
- * until it is clear whether the backend server died, and until its other
- * nodes know: whoever resends it then meets nodes that have been told.
+ * Handles the failure of an attempt at the local backend server. The failure of
+ * one that was sent is held back until it is known whether the backend server
+ * crashed, and until the other nodes are notified: a resend of the request then
+ * reaches only nodes that know of the suspect.
  */
 export function receiveFailure(
   state: NodeState,
@@ -77,7 +82,7 @@
   );
 }
 
-/** Holds the end of an attempt until it is clear whether it was a crash. */
+/** Holds back a failure until it is known whether it was due to a crash. */
 export function retainFailure(
   state: NodeState,
   failure: HeldFailure,
@@ -92,7 +97,10 @@
   );
 }
 
-/** The backend server was probed: all that ran is suspect, or nothing is. */
+/**
+ * Applies the result of a probe of the backend server: either all requests that
+ * ran become suspects, or none does.
+ */
 export function applyProbe(
   state: NodeState,
   isAlive: boolean,
@@ -109,7 +117,7 @@
       (next) => settleNotified(next, settle),
     );
   }
-  const freed = watch.held.reduce<NodeStep>(
+  const released = watch.held.reduce<NodeStep>(
     (step, { attemptId }) =>
       chainReduction(
         step,
@@ -117,10 +125,10 @@
       ),
     createReduction(state),
   );
-  return chainReduction(freed, (next) => settleHeldFailures(next, settle));
+  return chainReduction(released, (next) => settleHeldFailures(next, settle));
 }
 
-/** Another node replied to a question or message about suspects. */
+/** Handles another node's reply about suspects, or its timeout. */
 export function receiveQuarantineReply(
   state: NodeState,
   replied: {
@@ -137,8 +145,8 @@
   }
   if (requestId.startsWith(END_PREFIX)) {
     const attemptId = requestId.slice(END_PREFIX.length);
-    const isTold = reply !== undefined;
-    return createReduction(applyEndReply(state, attemptId, isTold));
+    const isAcknowledged = reply !== undefined;
+    return createReduction(applyEndReply(state, attemptId, isAcknowledged));
   }
   if (requestId.startsWith(CHECK_PREFIX)) {
     return createReduction(
@@ -157,6 +165,7 @@
   return settleNotified(next, settle);
 }
 
+/** Runs or refuses a suspect, depending on the reply to its lease request. */
 function applyLeaseReply(
   state: NodeState,
   attemptId: string,
@@ -191,11 +200,11 @@
       answer,
     }, deps);
   }
-  // The lease may have been granted: it is given back, as nothing ran.
+  // The owner may have granted a lease: it is returned, as nothing ran.
   const leaseId = reply?.type === "RunGranted" ? reply.leaseId : undefined;
-  const known = putLease(state, attemptId, { ...lease, leaseId });
+  const updated = putLease(state, attemptId, { ...lease, leaseId });
   return chainReduction(
-    endLease(known, attemptId, { isWhole: false, nowMs }),
+    endLease(updated, attemptId, { isWhole: false, nowMs }),
     (next) => refuseSuspect(next, { call, answer: OWNER_UNAVAILABLE }, deps),
   );
 }
@@ -219,6 +228,7 @@
   );
 }
 
+/** Starts to investigate failures: probes the backend server. */
 function startCrashWatch(
   state: NodeState,
   held: readonly HeldFailure[],
@@ -229,7 +239,10 @@
   ]);
 }
 
-/** Whether all that ran was reset at once: a process that is back already. */
+/**
+ * Whether every running attempt was reset at once, as when a process crashed
+ * and has already restarted.
+ */
 function isEveryRunReset(state: NodeState, watch: CrashWatch): boolean {
   const failed = new Set(watch.held.map(({ attemptId }) => attemptId));
   return failed.size >= MIN_SIMULTANEOUS_RESETS &&
@@ -237,7 +250,10 @@
     listInFlight(state).every(({ attemptId }) => failed.has(attemptId));
 }
 
-/** Lists the attempts that the backend server has seen and not ended. */
+/**
+ * Lists the attempts that were sent to the backend server and have not ended,
+ * except those that a crash was already attributed to.
+ */
 function listInFlight(state: NodeState): readonly ServedCall[] {
   const { lastJudged } = state.quarantine;
   return [...state.served.values()].filter((call) =>
@@ -245,6 +261,10 @@
   );
 }
 
+/**
+ * Records a crash, and reports its suspects to the other nodes. A request that
+ * was a suspect before, and is the only one among those that ran, is `guilty`.
+ */
 function reportCrash(
   state: NodeState,
   watch: CrashWatch,
@@ -269,12 +289,12 @@
     `${CRASH_NOTICE_PREFIX}${nextTell}/${peer.nodeId}`
   );
   const crash = { nodeId, fingerprints, guilty };
-  const over = [...leases].filter(([, { phase }]) =>
+  const remaining = [...leases].filter(([, { phase }]) =>
     phase !== "running" && phase !== "lingering"
   );
   const judged = new Set(sent.map(({ attemptId }) => attemptId));
   const next = putQuarantine(state, {
-    leases: new Map(over),
+    leases: new Map(remaining),
     abandoned: [],
     lastJudged: judged,
     nextTell: nextTell + 1,
@@ -296,7 +316,10 @@
   return appendEffects(recordCrash(next, crash, nowMs), ...effects);
 }
 
-/** Once all nodes have been told, whoever waits for an answer gets one. */
+/**
+ * Ends the held failures once every node is notified. Failures of attempts that
+ * began after the crash are investigated anew.
+ */
 function settleNotified(state: NodeState, settle: SettleHeldFailure): NodeStep {
   const { watch } = state.quarantine;
   if (watch === undefined || watch.untold.size > 0) {
@@ -305,15 +328,16 @@
   const { judged } = watch;
   const isNew = ({ attemptId }: HeldFailure) =>
     judged?.has(attemptId) !== true && state.served.has(attemptId);
-  const later = watch.held.filter(isNew);
+  const newer = watch.held.filter(isNew);
   const held = watch.held.filter((failure) => !isNew(failure));
   const rest = putQuarantine(state, { watch: { ...watch, held } });
   const settled = settleHeldFailures(rest, settle);
-  return later.length === 0
+  return newer.length === 0
     ? settled
-    : chainReduction(settled, (next) => startCrashWatch(next, later));
+    : chainReduction(settled, (next) => startCrashWatch(next, newer));
 }
 
+/** Ends the investigation and the attempts whose failure was held back. */
 function settleHeldFailures(
   state: NodeState,
   settle: SettleHeldFailure,
--- a/src/engine/call/common/entry_attempts.ts
+++ b/src/engine/call/common/entry_attempts.ts
@@ -1,4 +1,4 @@
-/** Attempts of entry calls: selects backend servers, sends, retries and ends. */
+/** Attempts of entry calls: selects backend servers, sends and retries. */
 import { setEntry } from "../../../base/common/maps.ts";
 import {
   appendEffects,
--- a/src/engine/call/common/entry_open.ts
+++ b/src/engine/call/common/entry_open.ts
@@ -32,7 +32,7 @@
   }
   | { readonly type: "Rejected"; readonly answer: OwnAnswer };
 
-/** Receives a call from a caller (edge) or the local backend server (egress). */
+/** Receives a call from a caller or from the local backend server. */
 export function receiveEntry(
   state: NodeState,
   received: CallReceived,
--- a/src/engine/call/common/entry_reply.ts
+++ b/src/engine/call/common/entry_reply.ts
@@ -26,8 +26,8 @@
 
 /**
  * Status of an attempt according to a reply: `lives` is queued or running,
- * `relays` is sending its answer, `answered` has sent all that this node would
- * read, `forgotten` is unknown to its receiver, `silent` stands for no reply.
+ * `relays` is sending its answer, `answered` has finished or waits for this
+ * node to read, `forgotten` is unknown to its receiver, `silent` is no reply.
  */
 type AttemptStatus =
   | "lives"
--- a/src/engine/call/common/node_reducer.ts
+++ b/src/engine/call/common/node_reducer.ts
@@ -1,4 +1,4 @@
-/** The one reducer of a node: every event goes through here. */
+/** Reducer of a node: handles every event. */
 import { createReduction } from "../../../base/common/reduction.ts";
 import {
   appendEffects,
@@ -57,7 +57,7 @@
 import { activateCandidate, receiveTable } from "./table_intake.ts";
 import { unsubscribeUnused } from "./subscription_step.ts";
 
-/** Steps a node; `nowMs` is the wall clock in milliseconds. */
+/** Applies an event to a node; `nowMs` is the wall clock in milliseconds. */
 export function reduceNode(
   state: NodeState,
   event: NodeEvent,
@@ -137,7 +137,7 @@
   }
 }
 
-/** What a node looks after as time passes. */
+/** Runs the periodic work of a node. */
 function tickNode(state: NodeState, deps: ServedDeps): NodeStep {
   const steps: readonly ((next: NodeState) => NodeStep)[] = [
     (next) => tickAdmission(next, deps),
@@ -159,10 +159,10 @@
   const { requestId, reply } = event;
   if (requestId.startsWith(QUARANTINE_PREFIX)) {
     const settle = createFailureSettler(deps.nowMs);
-    const told = reply as QuarantineReply | undefined;
+    const received = reply as QuarantineReply | undefined;
     return receiveQuarantineReply(
       state,
-      { requestId, reply: told },
+      { requestId, reply: received },
       settle,
       deps,
     );
@@ -207,7 +207,7 @@
     : failEntry(state, exchangeId, event, nowMs);
 }
 
-/** An answer of the backend server broke off, or one that another relays. */
+/** Handles a cut answer, of the local backend server or another node. */
 function applyCut(
   state: NodeState,
   attemptId: string,
@@ -219,7 +219,7 @@
     : applyEnd(state, attemptId, false, nowMs);
 }
 
-/** Ends attempts whose failure was held. */
+/** Creates the function that ends attempts whose failure was held back. */
 function createFailureSettler(nowMs: number): SettleHeldFailure {
   const deps = createServedDeps(nowMs);
   return (state, held) =>
@@ -228,6 +228,7 @@
       : failServed(state, { ...held, isSent: true }, deps);
 }
 
+/** Ends an attempt whose answer is complete or was cut, and its entry call. */
 function applyEnd(
   state: NodeState,
   attemptId: string,
@@ -246,6 +247,7 @@
   });
 }
 
+/** Cancels the entry call or served attempt of an exchange. */
 function cancelExchange(
   state: NodeState,
   exchangeId: string,
@@ -263,7 +265,7 @@
   return cancelServed(state, call.attemptId, createServedDeps(nowMs));
 }
 
-/** A chunked body went over its row's limit while it was sent. */
+/** Refuses a chunked body that exceeded the limit of its kind while sent. */
 function refuseBody(
   state: NodeState,
   exchangeId: string,
@@ -294,7 +296,10 @@
   return expireServed(state, key.id, createServedDeps(nowMs));
 }
 
-/** The node itself is the first to route its own calls elsewhere. */
+/**
+ * Starts draining. The node applies its own announcement at once, so that its
+ * own calls are routed to other nodes first.
+ */
 function startDrain(state: NodeState, nowMs: number): NodeStep {
   if (state.self.isDraining) {
     return createReduction(state);
--- a/src/engine/call/common/node_state.ts
+++ b/src/engine/call/common/node_state.ts
@@ -1,4 +1,4 @@
-/** The state of a node: its calls, and the areas that decide on them. */
+/** State of a node: its calls, and what its areas need to decide on them. */
 import { createAdmission } from "../../admission/common/admission_reducer.ts";
 import type { AdmissionState } from "../../admission/common/admission_types.ts";
 import type { LevelView } from "../../admission/common/level_view.ts";
@@ -24,121 +24,147 @@
 import type { CallContext } from "./call_context.ts";
 import type { CalleeView } from "./call_level.ts";
 
-/** An attempt that an entry call made. */
+/** An attempt that an entry call has sent. */
 export interface Attempt {
   readonly attemptId: string;
-  /** Node of the chosen backend server. */
+  /** Id of the node of the selected backend server. */
   readonly nodeId: string;
-  /** Of that node's process. */
+  /**
+   * Incarnation of that node: number of its process instance, which changes
+   * when the node restarts.
+   */
   readonly incarnation: number;
   /** `host:port` of that node's ingress. */
   readonly address: string;
+  /** When it was sent, on the wall clock in milliseconds. */
   readonly startedAtMs: number;
-  /** Retry tokens that went with it. */
+  /** Retry tokens that were handed to it. */
   readonly tokens: number;
-  /** When it was last known to live: sent, or confirmed by its receiver. */
+  /**
+   * When it was last known to be in progress, because it was sent or its
+   * receiver confirmed it; wall clock in milliseconds.
+   */
   readonly heardAtMs: number;
-  /** Whether a question about it is out. */
+  /** Whether a status request for it is pending. */
   readonly isAsked: boolean;
   /** Whether its connection failed after a byte was sent. */
   readonly isBroken: boolean;
-  /** Questions in a row that showed no sign of life. */
+  /** Consecutive status requests that showed no progress. */
   readonly misses: number;
 }
 
-/** A call that entered here, from a caller or the local backend server. */
+/**
+ * A call that enters the system at this node: a root request from a caller, or
+ * a call that the local backend server makes.
+ */
 export interface EntryCall {
   readonly exchangeId: string;
   readonly listener: "edge" | "egress";
   readonly row: TableRow;
-  /** Context of the call; each attempt gets its own id and tokens. */
+  /** Context of the call; each attempt gets an id and tokens of its own. */
   readonly context: CallContext;
-  /** Served attempt that made this call, where it is known. */
+  /** Id of the served attempt that made this call, where known. */
   readonly parentId: string | undefined;
+  /** Wall clock in milliseconds. */
   readonly deadlineMs: number;
+  /** Retry tokens that its attempts and the calls below it may spend. */
   readonly pool: TokenPool;
   readonly isReplayable: boolean;
-  /** The attempt under way; undefined while members are awaited. */
+  /** The attempt in progress; undefined before the first and once it ended. */
   readonly attempt: Attempt | undefined;
   readonly attemptCount: number;
+  /** Ids of the nodes that attempts were sent to. */
   readonly tried: readonly string[];
-  /** Times that it went elsewhere without a retry token. */
+  /** Attempts that were sent without a retry token; see `MAX_REROUTES`. */
   readonly rerouteCount: number;
-  /** Whether every attempt that ended is provably not run. */
+  /** Whether every ended attempt provably did not run. */
   readonly isNotRun: boolean;
+  /** Whether an answer is being relayed to the caller. */
   readonly isRelaying: boolean;
-  /** Whether the next attempt stands for one that never arrived. */
+  /** Whether the next attempt replaces one that never arrived. */
   readonly isReplacing?: boolean;
-  /** The attempt whose answer is relayed. */
+  /** The attempt whose answer is being relayed. */
   readonly relayed?: Attempt;
   readonly requestKey: RequestKey | undefined;
   /** See `CallReceived`. */
   readonly digest?: string | undefined;
 }
 
-/** An attempt that the local backend server is to run. */
+/** An attempt that the local backend server runs or will run. */
 export interface ServedCall {
   readonly attemptId: string;
   readonly exchangeId: string;
+  /** `ingress`: from another node; `local`: from an entry call of this node. */
   readonly origin: "ingress" | "local";
   readonly row: TableRow;
   readonly context: CallContext;
+  /** Wall clock in milliseconds. */
   readonly deadlineMs: number;
   /** Retry tokens for the calls that the backend server makes. */
   readonly pool: TokenPool;
   readonly phase: "queued" | "running" | "relaying" | "blocked";
   readonly requestKey: RequestKey | undefined;
-  /** Kind and digest; undefined where the digest is not known. */
+  /** See `createFingerprint`; undefined where the digest is not known. */
   readonly fingerprint?: Fingerprint | undefined;
-  /** Status of an answer that is held whole until its outcome is kept. */
+  /** Status of an answer that is buffered until its outcome is stored. */
   readonly collectedStatus?: number;
-  /** Whether it runs on, for its key's sake, though nobody waits for it. */
+  /**
+   * Whether it continues without a caller, so that a resend of its idempotency
+   * key gets its answer.
+   */
   readonly isDetached?: boolean;
-  /** Since when calls that it made are open; undefined where none is. */
+  /**
+   * Since when it has open calls of its own, on the wall clock in milliseconds;
+   * undefined while it has none.
+   */
   readonly downstreamSinceMs?: number | undefined;
-  /** Time before that in which calls that it made were open. */
+  /** Total time of earlier such intervals, in milliseconds. */
   readonly downstreamMs?: number;
 }
 
-/** A table that is not in force yet. */
+/** A table that is not in force yet; see `receiveTable`. */
 export interface TableCandidate {
   readonly table: Table;
-  /** When the first one was found, on the wall clock in milliseconds. */
+  /** When the first candidate arrived, on the wall clock in milliseconds. */
   readonly sinceMs: number;
 }
 
-/** All that a node knows. */
+/** State of a node. */
 export interface NodeState {
+  /** Announcement of this node, as other nodes see it. */
   readonly self: Announcement;
   /** `host:port` of the local backend server. */
   readonly backendAddress: string;
   readonly table: Table;
-  /** Whether a quorum vouched for the table. */
+  /** Whether a quorum of control replicas confirmed the table. */
   readonly isTableConfirmed: boolean;
-  /** Highest table that no quorum vouched for, while there is none yet. */
+  /** Unconfirmed table of the highest version, while none is in force. */
   readonly tableCandidate: TableCandidate | undefined;
-  /** By exchange id. */
+  /** Entry calls by exchange id. */
   readonly entries: ReadonlyMap<string, EntryCall>;
-  /** Exchange ids of entry calls by the attempt under way. */
+  /** Exchange ids of entry calls, by the id of the attempt in progress. */
   readonly entryOfAttempt: ReadonlyMap<string, string>;
-  /** By attempt id. */
+  /** Served attempts by attempt id. */
   readonly served: ReadonlyMap<string, ServedCall>;
-  /** When the local backend server last sent the head of an answer. */
+  /**
+   * When the local backend server last sent the head of an answer, on the wall
+   * clock in milliseconds; 0 before the first one.
+   */
   readonly backendHeardMs: number;
-  /** Entry calls that a served attempt made and that are open. */
+  /** Exchange ids of the open calls of served attempts, by attempt id. */
   readonly childrenOf: ReadonlyMap<string, readonly string[]>;
   /** Attempts that ended, were refused or were fenced here. */
   readonly settled: SettledAttempts;
   readonly retryBudget: RetryBudget;
-  /** Resends by the callers of this node. */
+  /** Resend budgets of the callers of this node. */
   readonly resends: ResendBudgets;
   readonly routing: RoutingState;
-  /** Load hint of the local backend server, whole per cent. */
+  /** Load hint of the local backend server, in whole per cent. */
   readonly loadHint: number | undefined;
-  /** Services that are called, and so subscribed to. */
+  /** Services that are subscribed to, because they are called. */
   readonly subscriptions: Subscriptions;
   readonly admission: AdmissionState;
-  /** Admission levels that other nodes said on answers. */
+  /** Admission levels that answers of other nodes reported. */
   readonly levels: LevelView;
   readonly callees: CalleeView;
   readonly claims: NodeClaims;
@@ -169,7 +195,7 @@
       dataCentre: self.dataCentre,
     }),
     loadHint: undefined,
-    // Its own service's members share the suspects.
+    // Always subscribed to its own service, whose members share suspects.
     subscriptions: new Map([[self.service, 0]]),
     admission: createAdmission(self.slots),
     levels: new Map(),
--- a/src/engine/call/common/peer_reducer.ts
+++ b/src/engine/call/common/peer_reducer.ts
@@ -1,4 +1,4 @@
-/** Answers to other nodes' questions about attempts. */
+/** Replies to the messages of other nodes. */
 import {
   appendEffects,
   createReduction,
@@ -20,7 +20,7 @@
 
 type FenceAttempts = Extract<PeerMessage, { type: "FenceAttempts" }>;
 
-/** Answers one question. */
+/** Handles one message, and replies to it. */
 export function answerPeer(
   state: NodeState,
   asked: { readonly askId: number; readonly message: PeerMessage },
@@ -47,6 +47,10 @@
   ]);
 }
 
+/**
+ * Reports the phase of each attempt. One that never arrived is fenced, that is,
+ * refused if it arrives later: this proves to its sender that it does not run.
+ */
 function fenceAttempts(
   state: NodeState,
   askId: number,
@@ -73,6 +77,7 @@
   });
 }
 
+/** Returns what is known of an attempt; undefined where it left no record. */
 function findAttempt(
   state: NodeState,
   attemptId: string,
@@ -81,13 +86,14 @@
   if (served !== undefined) {
     return { type: "AttemptKnown", phase: served.phase };
   }
-  const as = findSettled(state.settled, attemptId);
-  if (as === "ended") {
+  const settledAs = findSettled(state.settled, attemptId);
+  if (settledAs === "ended") {
     return { type: "AttemptKnown", phase: "ended" };
   }
-  return as === undefined ? undefined : { type: "AttemptFenced" };
+  return settledAs === undefined ? undefined : { type: "AttemptFenced" };
 }
 
+/** Fences an attempt; undefined where that would prove nothing. */
 function fenceAttempt(
   state: NodeState,
   asked: AskedAttempt,
--- a/src/engine/call/common/quarantine_ledger.ts
+++ b/src/engine/call/common/quarantine_ledger.ts
@@ -1,4 +1,7 @@
-/** The node as owner of suspects: decides, answers and tells the others. */
+/**
+ * The node as owner of suspects: it decides which of them run, replies to lease
+ * requests, and notifies the other nodes of its service.
+ */
 import { deleteEntry } from "../../../base/common/maps.ts";
 import {
   chainReduction,
@@ -42,17 +45,17 @@
   { type: T }
 >;
 
-/** Most suspects in one message. */
 const MAX_SUSPECTS_PER_MESSAGE = 1_024;
-/** When to come back to an owner that can keep no further suspect. */
+/** Retry delay while the owner has no capacity for another suspect. */
 const LEDGER_FULL_RETRY_MS = 10_000;
-/** Time between two rounds of questions about old suspects. */
+/** Interval at which owners are asked about suspects that remain. */
 const CHECK_INTERVAL_MS = 3_000;
+/** Prefix of the request ids of verdicts; the node id follows. */
 const VERDICT_PREFIX = `${QUARANTINE_PREFIX}verdict/`;
-/** Request ids of questions about old suspects begin with this. */
+/** Prefix of the request ids of checks of suspects; the address follows. */
 export const CHECK_PREFIX = `${QUARANTINE_PREFIX}check/`;
 
-/** Answers another node, or this one. */
+/** Replies to a quarantine message of another node, or of this one. */
 export function answerQuarantine(
   state: NodeState,
   asked: { readonly askId: number; readonly message: QuarantineMessage },
@@ -70,18 +73,18 @@
     } as const;
     return createReduction(state, [{ type: "AnswerPeer", askId, reply }]);
   }
-  const noted: NodeEffect = {
+  const acknowledgement: NodeEffect = {
     type: "AnswerPeer",
     askId,
     reply: { type: "SuspectsNoted" },
   };
   return chainReduction(
     applyMessage(state, message, nowMs),
-    (next) => createReduction(next, [noted]),
+    (next) => createReduction(next, [acknowledgement]),
   );
 }
 
-/** Notes what ran when a backend server died, and judges what is owned here. */
+/** Records what ran when a backend server crashed, and judges own suspects. */
 export function recordCrash(
   state: NodeState,
   crash: Omit<Message<"TellSuspects">, "type">,
@@ -92,29 +95,29 @@
   const fingerprints = crash.fingerprints.filter((one) =>
     guilty?.includes(one) === true || !isAcquitted(cleared, one, nowMs)
   );
-  const noted = putQuarantine(state, {
+  const recorded = putQuarantine(state, {
     known: noteSuspects(known, fingerprints, nowMs),
   });
-  const room = MAX_KNOWN_SUSPECTS - ledger.suspects.size;
+  const freeCapacity = MAX_KNOWN_SUSPECTS - ledger.suspects.size;
   const added = fingerprints.filter((fingerprint) =>
     !ledger.suspects.has(fingerprint) &&
     findOwner(state, fingerprint)?.nodeId === state.self.nodeId
-  ).slice(0, Math.max(0, room));
+  ).slice(0, Math.max(0, freeCapacity));
   const owned = [
     ...fingerprints.filter((one) => ledger.suspects.has(one)),
     ...added,
   ];
-  return owned.length === 0 ? createReduction(noted) : stepLedger(
-    noted,
+  return owned.length === 0 ? createReduction(recorded) : stepLedger(
+    recorded,
     { type: "BackendCrashed", nodeId, fingerprints: owned, guilty },
     nowMs,
   );
 }
 
 /**
- * Tells a node that joins the service of the suspects. It may be the owner of
- * some, and have lost them: of each one the node tells that owns it among the
- * others.
+ * Notifies a node that joins the service of its suspects, some of which it may
+ * own and have lost. Of the other nodes, the one that owns a suspect among them
+ * sends it.
  */
 export function notifyJoinedNode(
   state: NodeState,
@@ -149,18 +152,20 @@
   ]);
 }
 
-/** Time has passed. */
+/** Expires suspects, and runs the periodic work of the ledger. */
 export function tickLedger(state: NodeState, nowMs: number): Step {
   const { known } = state.quarantine;
-  const live = expireSuspects(known, nowMs);
-  const next = live === known ? state : putQuarantine(state, { known: live });
+  const unexpired = expireSuspects(known, nowMs);
+  const next = unexpired === known
+    ? state
+    : putQuarantine(state, { known: unexpired });
   return chainReduction(
     stepLedger(next, { type: "Ticked" }, nowMs),
     (ticked) => checkSuspects(ticked, nowMs),
   );
 }
 
-/** Forgets the suspects that their owner says it has cleared. */
+/** Removes the suspects that their owner reports as cleared. */
 export function applyClearedSuspects(
   state: NodeState,
   cleared: readonly Fingerprint[],
@@ -178,8 +183,9 @@
 }
 
 /**
- * Asks owners about suspects that stay: without it, a node that missed one
- * message refused that request beside any other suspect for two days.
+ * Asks owners about suspects that remain. Without this check, a node that
+ * missed the message that cleared a suspect would refuse that request beside
+ * any other suspect for two days.
  */
 function checkSuspects(state: NodeState, nowMs: number): Step {
   const { known, checkedAtMs, ledger } = state.quarantine;
@@ -196,14 +202,14 @@
     byOwner.set(owner, fingerprints);
     fingerprints.push(fingerprint);
   }
-  const asks = [...byOwner].map(([owner, fingerprints]) =>
+  const requests = [...byOwner].map(([owner, fingerprints]) =>
     createPeerRequest(`${CHECK_PREFIX}${owner}`, owner, {
       type: "CheckSuspects",
       fingerprints: fingerprints.slice(0, MAX_SUSPECTS_PER_MESSAGE),
     })
   );
   const next = putQuarantine(state, { checkedAtMs: nowMs });
-  return createReduction(next, asks);
+  return createReduction(next, requests);
 }
 
 function applyMessage(
@@ -230,7 +236,10 @@
   }
 }
 
-/** Whoever asks knows a suspect; the owner before may have kept it. */
+/**
+ * Decides on a lease request. An unknown suspect is added, as a previous owner
+ * may have recorded it.
+ */
 function decideRun(
   state: NodeState,
   askId: number,
@@ -248,7 +257,7 @@
     ]);
   }
   const fingerprints = isKnown ? [] : [fingerprint];
-  const noted = stepLedger(
+  const recorded = stepLedger(
     state,
     { type: "BackendCrashed", nodeId, fingerprints, guilty: [] },
     nowMs,
@@ -260,9 +269,10 @@
     fingerprint,
     timeoutMs,
   } as const;
-  return chainReduction(noted, (next) => stepLedger(next, event, nowMs));
+  return chainReduction(recorded, (next) => stepLedger(next, event, nowMs));
 }
 
+/** Ends a run: a complete one clears its suspect, another returns the lease. */
 function endRun(
   state: NodeState,
   ended: Message<"EndRun">,
@@ -275,6 +285,7 @@
   return stepLedger(state, event, nowMs);
 }
 
+/** Applies an event to the ledger, and carries out its decisions. */
 function stepLedger(
   state: NodeState,
   event: QuarantineEvent,
@@ -309,7 +320,7 @@
       return createReduction(state, [{ type: "AnswerPeer", askId, reply }]);
     }
     case "PublishSuspect":
-      // The node beside the backend server has told all of them.
+      // The node of the crashed backend server has notified all others.
       return createReduction(state);
     case "PublishQuarantine": {
       const { fingerprint } = effect;
@@ -331,17 +342,18 @@
   }
 }
 
+/** Records a verdict of this node, and sends it to the others. */
 function publishVerdict(
   state: NodeState,
   verdict: Verdict,
   nowMs: number,
 ): Step {
   const { fingerprint, isCleared, quarantineMs } = verdict;
-  const told = { type: "TellVerdicts", verdicts: [verdict] } as const;
-  const tells = listPeers(state)
+  const message = { type: "TellVerdicts", verdicts: [verdict] } as const;
+  const notifications = listPeers(state)
     .filter(({ nodeId }) => nodeId !== state.self.nodeId)
     .map(({ nodeId, ingress }) =>
-      createPeerRequest(`${VERDICT_PREFIX}${nodeId}`, ingress, told)
+      createPeerRequest(`${VERDICT_PREFIX}${nodeId}`, ingress, message)
     );
   return createReduction(recordVerdict(state, verdict, nowMs), [
     {
@@ -350,11 +362,11 @@
         ? { type: "SuspectCleared", fingerprint }
         : { type: "RequestQuarantined", fingerprint, lengthMs: quarantineMs },
     },
-    ...tells,
+    ...notifications,
   ]);
 }
 
-/** Notes what the owner decided, and when it cleared a suspect. */
+/** Records the owner's verdict, and when it cleared a suspect. */
 function recordVerdict(
   state: NodeState,
   verdict: Verdict,
--- a/src/engine/call/common/quarantine_steps.ts
+++ b/src/engine/call/common/quarantine_steps.ts
@@ -1,4 +1,8 @@
-/** Leases of suspects at the node that runs them: asked, held, given back. */
+/**
+ * Leases at the node that runs suspects. A suspect is a request that ran when a
+ * backend server crashed. It runs only with a lease from its owner, the node of
+ * the service that decides on it.
+ */
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 import {
   appendEffects,
@@ -25,27 +29,27 @@
 
 type Step = Reduction<NodeState, NodeEffect>;
 
-/** What stands in the way of a run. */
+/** Why an attempt can't run yet. */
 export type SuspectCheck =
   | { readonly type: "Refused"; readonly answer: OwnAnswer }
-  /** The owner is asked; the attempt waits. */
+  /** A lease is requested from the owner; the attempt waits for its reply. */
   | { readonly type: "Asked"; readonly step: Step };
 
-/** Request ids of questions for leases begin with this. */
+/** Prefix of the request ids of lease requests; the attempt id follows. */
 export const LEASE_PREFIX = `${QUARANTINE_PREFIX}lease/`;
-/** Request ids of the ends of leases begin with this. */
+/** Prefix of the request ids of lease ends; the attempt id follows. */
 export const END_PREFIX = `${QUARANTINE_PREFIX}end/`;
-/** How long the backend server may go on with a run that was given up. */
+/** Time that the backend server may continue with an abandoned run. */
 const LINGER_MS = 3_000;
-/** Time between two tries to tell the owner of the end. */
+/** Interval at which the end of a lease is reported until the owner replies. */
 const END_RETRY_INTERVAL_MS = 1_000;
-/** An owner that can't be told for so long is given up. */
+/** Time after which an unreachable owner is no longer notified of the end. */
 const END_TIMEOUT_MS = 60_000;
+/** Delay after which the caller of a refused suspect may retry. */
 const RETRY_AFTER_MS = 1_000;
-/** Most runs that were given up and are remembered. */
 const MAX_ABANDONED_RUNS = 64;
 
-/** A suspect that can't be told from its owner's answer to run. */
+/** Answer to a suspect whose owner is unknown or does not reply. */
 export const OWNER_UNAVAILABLE: OwnAnswer = {
   status: 503,
   outcome: "not-run",
@@ -55,8 +59,8 @@
 };
 
 /**
- * Names a request by its kind and bytes; never by an id or key, which a caller
- * may change with each resend.
+ * Identifies a request by its kind and a digest of its content; never by an id
+ * or key, which a caller may change with each resend.
  */
 export function createFingerprint(
   row: TableRow,
@@ -65,7 +69,7 @@
   return digest === undefined ? undefined : `${row.kind}|${digest}`;
 }
 
-/** Checks an attempt before it runs; undefined where nothing is in the way. */
+/** Checks an attempt before it runs; undefined where it may run. */
 export function checkSuspect(
   state: NodeState,
   call: ServedCall,
@@ -77,9 +81,9 @@
   if (suspect === undefined || isLeased) {
     return undefined;
   }
-  const restMs = suspect.quarantinedUntilMs - nowMs;
-  if (restMs > 0) {
-    return { type: "Refused", answer: createQuarantinedAnswer(restMs) };
+  const waitMs = suspect.quarantinedUntilMs - nowMs;
+  if (waitMs > 0) {
+    return { type: "Refused", answer: createQuarantinedAnswer(waitMs) };
   }
   if ([...leases.values()].some((lease) => lease.phase !== "ending")) {
     return { type: "Refused", answer: createBusyAnswer(RETRY_AFTER_MS) };
@@ -87,18 +91,18 @@
   return requestLease(state, call, nowMs);
 }
 
-/** Answer to a request in quarantine. Not 5xx: clients resend those. */
-export function createQuarantinedAnswer(restMs: number): OwnAnswer {
+/** Creates the answer in quarantine. Not a 5xx status: clients retry those. */
+export function createQuarantinedAnswer(waitMs: number): OwnAnswer {
   return {
     status: 422,
     outcome: "not-run",
     message: "This request is in quarantine: backend servers died when they " +
       "ran it",
-    retryAfterMs: restMs,
+    retryAfterMs: waitMs,
   };
 }
 
-/** Answer to a suspect while another run of a suspect is under way. */
+/** Creates the answer to a suspect while another run of a suspect is active. */
 export function createBusyAnswer(retryAfterMs: number): OwnAnswer {
   return {
     status: 503,
@@ -109,12 +113,12 @@
   };
 }
 
-/** Whether the owner is still being asked for an attempt. */
+/** Whether the lease request of an attempt is pending. */
 export function isAwaitingLease(state: NodeState, attemptId: string): boolean {
   return state.quarantine.leases.get(attemptId)?.phase === "asking";
 }
 
-/** Ends the lease of an attempt, if it has one, and tells the owner. */
+/** Ends the lease of an attempt, if it has one, and notifies the owner. */
 export function endLease(
   state: NodeState,
   attemptId: string,
@@ -137,7 +141,7 @@
   ]);
 }
 
-/** A run is given up here, while the backend server may go on with it. */
+/** Records an abandoned run, with which the backend server may continue. */
 export function recordAbandoned(
   state: NodeState,
   call: ServedCall,
@@ -151,24 +155,24 @@
   const abandoned = [...state.quarantine.abandoned, run].slice(
     -MAX_ABANDONED_RUNS,
   );
-  const noted = putQuarantine(state, { abandoned });
+  const recorded = putQuarantine(state, { abandoned });
   const lease = state.quarantine.leases.get(attemptId);
   return lease?.phase === "running"
-    ? putLease(noted, attemptId, {
+    ? putLease(recorded, attemptId, {
       ...lease,
       phase: "lingering",
       sinceMs: nowMs,
     })
-    : noted;
+    : recorded;
 }
 
-/** Time has passed: ends leases that linger, and tells owners again. */
+/** Ends leases that linger, and notifies owners that have not replied. */
 export function tickLeases(state: NodeState, nowMs: number): Step {
   const { leases, abandoned } = state.quarantine;
-  const late = abandoned.filter((run) => run.untilMs > nowMs);
-  const start = late.length === abandoned.length
+  const unexpired = abandoned.filter((run) => run.untilMs > nowMs);
+  const start = unexpired.length === abandoned.length
     ? state
-    : putQuarantine(state, { abandoned: late });
+    : putQuarantine(state, { abandoned: unexpired });
   return [...leases].reduce<Step>(
     (step, [attemptId, lease]) =>
       chainReduction(step, (s) => tickLease(s, attemptId, lease, nowMs)),
@@ -176,34 +180,34 @@
   );
 }
 
-/** The owner was told that a lease is over, or couldn't be reached. */
+/** Removes a lease whose end the owner has acknowledged. */
 export function applyEndReply(
   state: NodeState,
   attemptId: string,
-  isTold: boolean,
+  isAcknowledged: boolean,
 ): NodeState {
   const { leases } = state.quarantine;
-  return isTold && leases.get(attemptId)?.phase === "ending"
+  return isAcknowledged && leases.get(attemptId)?.phase === "ending"
     ? putQuarantine(state, { leases: deleteEntry(leases, attemptId) })
     : state;
 }
 
-/** Lists the nodes of the own service; empty where they are not known. */
+/** Lists the nodes of this node's service; empty where they are not known. */
 export function listPeers(state: NodeState): readonly Announcement[] {
   const service = state.routing.services.get(state.self.service);
   return service === undefined ? [] : [...service.members.values()];
 }
 
-/** Chooses who decides on a suspect; undefined where no node is known. */
+/** Chooses the owner of a suspect; undefined where no node is known. */
 export function findOwner(
   state: NodeState,
   fingerprint: Fingerprint,
 ): Announcement | undefined {
-  const live = listPeers(state).filter((peer) => !peer.isDraining);
-  return chooseOwner(live, fingerprint);
+  const available = listPeers(state).filter((peer) => !peer.isDraining);
+  return chooseOwner(available, fingerprint);
 }
 
-/** Replaces parts of what the node knows of suspects. */
+/** Replaces parts of the quarantine state of a node. */
 export function putQuarantine(
   state: NodeState,
   change: Partial<NodeQuarantine>,
@@ -221,7 +225,7 @@
   return putQuarantine(state, { leases });
 }
 
-/** Creates the effect that asks or tells another node. */
+/** Creates the effect that sends a message about suspects to another node. */
 export function createPeerRequest(
   requestId: string,
   address: string,
@@ -239,6 +243,7 @@
   };
 }
 
+/** Requests a lease from the suspect's owner. */
 function requestLease(
   state: NodeState,
   call: ServedCall,
@@ -261,7 +266,7 @@
   };
   const { nodeId } = state.self;
   const timeoutMs = deadlineMs - nowMs;
-  const ask = createPeerRequest(`${LEASE_PREFIX}${attemptId}`, owner, {
+  const request = createPeerRequest(`${LEASE_PREFIX}${attemptId}`, owner, {
     type: "RequestRun",
     nodeId,
     fingerprint,
@@ -269,11 +274,12 @@
   });
   const step = createReduction<NodeState, NodeEffect>(
     putLease(state, attemptId, lease),
-    [ask],
+    [request],
   );
   return { type: "Asked", step };
 }
 
+/** Advances one lease that lingers or ends. */
 function tickLease(
   state: NodeState,
   attemptId: string,
@@ -293,13 +299,14 @@
     const leases = deleteEntry(state.quarantine.leases, attemptId);
     return createReduction(putQuarantine(state, { leases }));
   }
-  const told: LocalLease = { ...lease, toldAtMs: nowMs };
+  const renewed: LocalLease = { ...lease, toldAtMs: nowMs };
   return appendEffects(
-    createReduction<NodeState, NodeEffect>(putLease(state, attemptId, told)),
-    createEndRequest(state, attemptId, told),
+    createReduction<NodeState, NodeEffect>(putLease(state, attemptId, renewed)),
+    createEndRequest(state, attemptId, renewed),
   );
 }
 
+/** Creates the message that reports the end of a lease to its owner. */
 function createEndRequest(
   state: NodeState,
   attemptId: string,
--- a/src/engine/call/common/resend_step.ts
+++ b/src/engine/call/common/resend_step.ts
@@ -13,7 +13,7 @@
   readonly refusal: OwnAnswer | undefined;
 }
 
-/** In characters; calls with longer ids aren't counted, and so never refused. */
+/** In characters; calls with longer ids aren't counted or refused. */
 const MAX_ID_LENGTH = 512;
 
 /**
--- a/src/engine/call/common/served_claims.ts
+++ b/src/engine/call/common/served_claims.ts
@@ -1,4 +1,4 @@
-/** Carries out what the claims of served attempts come to. */
+/** Carries out the decisions on the claims of served attempts. */
 import { assertNever } from "../../../base/common/never.ts";
 import { setEntry } from "../../../base/common/maps.ts";
 import {
@@ -31,9 +31,10 @@
 import { refuseServed, sendServed, settleServed } from "./served_steps.ts";
 import type { NodeStep, ServedDeps } from "./served_types.ts";
 
+/** Delay after which a caller may send the request of a key again. */
 const RETRY_AFTER_MS = 1_000;
 
-/** Takes the reply to a question about claims. */
+/** Handles a holder's reply, or its timeout. */
 export function receiveHolderReply(
   state: NodeState,
   requestId: string,
@@ -43,7 +44,7 @@
   return applySteps(state, takeReply(state.claims, requestId, reply), deps);
 }
 
-/** Takes the holder sets that control told. */
+/** Applies the holder sets that control sent; ignores other services'. */
 export function receiveHolderSets(
   state: NodeState,
   sets: HolderSets,
@@ -55,7 +56,7 @@
   return applySteps(state, takeSets(state.claims, sets, state.self), deps);
 }
 
-/** Time has passed. */
+/** Runs the periodic work of claims. */
 export function tickServedClaims(
   state: NodeState,
   deps: ServedDeps,
@@ -64,7 +65,7 @@
   return applySteps(state, step, deps);
 }
 
-/** The pause of a claim is over. */
+/** Resumes a claim after the pause between two rounds. */
 export function resumeServed(
   state: NodeState,
   attemptId: string,
@@ -75,7 +76,10 @@
   return applySteps(state, step, deps);
 }
 
-/** The whole answer of a claimed attempt is here: the holders come first. */
+/**
+ * Records the complete answer of a claimed attempt with the holders, before it
+ * is relayed.
+ */
 export function recordAnswer(
   state: NodeState,
   attemptId: string,
@@ -90,8 +94,11 @@
     return createReduction(state, [{ type: "DiscardAnswer", attemptId }]);
   }
   const { status, answer } = collected;
-  const held = { ...call, collectedStatus: status };
-  const next = { ...state, served: setEntry(state.served, attemptId, held) };
+  const buffered = { ...call, collectedStatus: status };
+  const next = {
+    ...state,
+    served: setEntry(state.served, attemptId, buffered),
+  };
   const { claims } = next;
   const step = applyOwn(claims, recordRun(claims.own, attemptId, answer));
   return applySteps(next, step, deps);
@@ -138,6 +145,7 @@
   }
 }
 
+/** Relays a recorded answer; without a caller, it only ends the attempt. */
 function relayClaimed(
   state: NodeState,
   attemptId: string,
@@ -155,6 +163,7 @@
   return answerServed(state, attemptId, answer, deps);
 }
 
+/** Answers an attempt that did not win its claim. */
 function settleClaim(
   state: NodeState,
   attemptId: string,
@@ -176,6 +185,7 @@
     : settleServed(state, attemptId, answer, deps);
 }
 
+/** Creates the head of an answer that this node already has. */
 function createAnswerHead(status: number): AttemptAnswer {
   return { status, outcome: "ran", tokens: 0, isDraining: false };
 }
--- a/src/engine/call/common/served_receive.ts
+++ b/src/engine/call/common/served_receive.ts
@@ -1,4 +1,4 @@
-/** Attempts that arrive for the local backend server. */
+/** Receives attempts for the local backend server and requests admission. */
 import { setEntry } from "../../../base/common/maps.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
 import { chainReduction } from "../../../base/common/reduction.ts";
@@ -14,7 +14,7 @@
 import type { NodeStep, ServedDeps } from "./served_types.ts";
 import { refuseServed, stepAdmission } from "./served_steps.ts";
 
-/** Takes a call from another node. */
+/** Receives an attempt from another node. */
 export function receiveIngress(
   state: NodeState,
   call: CallReceived,
@@ -55,7 +55,10 @@
   }, deps);
 }
 
-/** Answers an attempt id that was here before: none runs twice. */
+/**
+ * Returns an answer to an attempt whose id is known already, so that none runs
+ * twice; undefined for a new one.
+ */
 function checkDuplicate(
   state: NodeState,
   attemptId: string,
@@ -74,7 +77,7 @@
   };
 }
 
-/** Asks for admission of an attempt at the local backend server. */
+/** Requests admission of an attempt at the local backend server. */
 export function admitAttempt(
   state: NodeState,
   call: ServedCall,
@@ -82,9 +85,9 @@
 ): NodeStep {
   const { attemptId, context, row, deadlineMs } = call;
   const served = setEntry(state.served, attemptId, call);
-  const withCall = { ...state, served };
+  const registered = { ...state, served };
   if (state.self.isDraining) {
-    return refuseServed(withCall, attemptId, {
+    return refuseServed(registered, attemptId, {
       status: 503,
       outcome: "not-run",
       message: "Backend server is draining",
@@ -93,7 +96,7 @@
     }, deps);
   }
   const key: TimerKey = { owner: "served", id: attemptId };
-  const start = createReduction<NodeState, NodeEffect>(withCall, [
+  const start = createReduction<NodeState, NodeEffect>(registered, [
     { type: "StartTimer", key, atMs: deadlineMs },
   ]);
   const { importance, admissionHash, depth } = context;
@@ -111,6 +114,7 @@
   );
 }
 
+/** Answers an exchange whose attempt was not accepted. */
 function answerImmediately(
   state: NodeState,
   exchangeId: string,
--- a/src/engine/call/common/served_reducer.ts
+++ b/src/engine/call/common/served_reducer.ts
@@ -1,4 +1,4 @@
-/** Attempts at the node of the chosen backend server: answers and ends. */
+/** Served attempts: answers, failures, cancellation and expiry. */
 import { setEntry } from "../../../base/common/maps.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
 import {
@@ -24,7 +24,7 @@
   stepAdmission,
 } from "./served_steps.ts";
 
-/** The head of the backend server's answer has arrived. */
+/** Handles the head of an answer of the backend server: starts relaying it. */
 export function answerServed(
   state: NodeState,
   attemptId: string,
@@ -33,10 +33,10 @@
 ): NodeStep {
   const call = state.served.get(attemptId)!;
   const { left } = call.pool;
-  // The tokens go back with this answer, so none may be spent here any more.
+  // The answer returns the tokens, so no call below may spend them any more.
   const relaying: ServedCall = { ...call, phase: "relaying", pool: EMPTY_POOL };
   const served = setEntry(state.served, attemptId, relaying);
-  // A kept answer says nothing of the backend server's latency.
+  // A stored answer is no sample of the backend server's latency.
   const event: AdmissionEvent = isReplay(call)
     ? { type: "RequestFinished", attemptId, result: "cancelled" }
     : {
@@ -44,8 +44,8 @@
       attemptId,
       downstreamMs: computeDownstreamMs(call, deps.nowMs),
     };
-  const heard = { ...state, served, backendHeardMs: deps.nowMs };
-  const step = stepAdmission(heard, event, deps);
+  const answered = { ...state, served, backendHeardMs: deps.nowMs };
+  const step = stepAdmission(answered, event, deps);
   if (call.origin === "local") {
     const hintedLoad = state.loadHint;
     const returned = { ...answer, tokens: left, hintedLoad };
@@ -71,7 +71,7 @@
   });
 }
 
-/** Whoever asked stopped taking the answer, or goes on. */
+/** Records whether the receiver of an answer has stopped reading it. */
 export function recordBlocked(
   state: NodeState,
   attemptId: string,
@@ -89,7 +89,7 @@
   return createReduction({ ...state, served });
 }
 
-/** The backend server did not answer. */
+/** Ends an attempt that the backend server did not answer. */
 export function failServed(
   state: NodeState,
   failure: {
@@ -108,7 +108,7 @@
     outcome: isSent ? "unknown" : "not-run",
     message: `Backend server did not answer: ${reason}`,
   };
-  const noted = chainReduction(
+  const finished = chainReduction(
     withdrawn,
     (next) =>
       stepAdmission(
@@ -118,12 +118,12 @@
       ),
   );
   return chainReduction(
-    noted,
+    finished,
     (next) => settleServed(next, attemptId, answer, deps),
   );
 }
 
-/** The answer went through whole, or was cut (`isWhole` false). */
+/** Ends an attempt whose answer is complete, or was cut (`isWhole` false). */
 export function endServed(
   state: NodeState,
   attemptId: string,
@@ -143,8 +143,9 @@
 }
 
 /**
- * Whoever asked is gone: frees the slot and cancels the work. A claimed one
- * runs on to its deadline, so that a resend of its key gets the whole answer.
+ * Cancels an attempt whose caller disconnected, and frees its slot. One that
+ * has won a claim continues until its deadline, so that a resend of its key
+ * gets the complete answer.
  */
 export function cancelServed(
   state: NodeState,
@@ -157,16 +158,16 @@
     const served = setEntry(state.served, attemptId, detached);
     return createReduction({ ...state, served });
   }
-  const left = isUnsent(state, call)
+  const recorded = isUnsent(state, call)
     ? state
     : recordAbandoned(state, call, deps.nowMs);
-  const step = releaseServed(left, attemptId, deps);
+  const step = releaseServed(recorded, attemptId, deps);
   return call.phase === "queued"
     ? step
     : appendEffects(step, { type: "AbortAttempt", attemptId });
 }
 
-/** The time of an attempt is over. */
+/** Ends an attempt whose deadline passed before its answer. */
 export function expireServed(
   state: NodeState,
   attemptId: string,
@@ -177,8 +178,8 @@
     return createReduction(state);
   }
   const isNotRun = isUnsent(state, call);
-  const left = isNotRun ? state : recordAbandoned(state, call, deps.nowMs);
-  const step = settleServed(left, attemptId, {
+  const recorded = isNotRun ? state : recordAbandoned(state, call, deps.nowMs);
+  const step = settleServed(recorded, attemptId, {
     status: 504,
     outcome: isNotRun ? "not-run" : "unknown",
     message: "Deadline passed",
@@ -189,9 +190,9 @@
 }
 
 /**
- * Aborts an attempt whose time is over. Where the backend server has answered
- * nothing since the attempt came, its other connections may be silent too:
- * later attempts use new ones.
+ * Creates the effects that abort an expired attempt. If the backend server has
+ * answered nothing since the attempt arrived, its other connections may have
+ * stalled too, so later attempts use new ones.
  */
 function createAbortEffects(
   state: NodeState,
--- a/src/engine/call/common/served_steps.ts
+++ b/src/engine/call/common/served_steps.ts
@@ -1,4 +1,4 @@
-/** Admits, sends, refuses and releases served attempts. */
+/** Served attempts: admits, sends, refuses and releases them. */
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
 import {
@@ -30,22 +30,24 @@
 import { MAX_STORED_BYTES } from "../../claims/common/claim_types.ts";
 import type { LocalResult, NodeStep, ServedDeps } from "./served_types.ts";
 
-/** Whether the backend server has seen nothing of an attempt yet. */
+/** Whether no byte of an attempt has been sent to the backend server yet. */
 export function isUnsent(state: NodeState, call: ServedCall): boolean {
   const { attemptId, phase } = call;
   return phase === "queued" || isClaiming(state, attemptId) ||
     isAwaitingLease(state, attemptId);
 }
 
+/** Whether the head of an attempt's answer has arrived. */
 export function isAnswered(call: ServedCall): boolean {
   return call.phase === "relaying" || call.phase === "blocked";
 }
 
-/** Time has passed: queued requests may have to go, or may run. */
+/** Lets the admission queue advance: queued requests may run or be refused. */
 export function tickAdmission(state: NodeState, deps: ServedDeps): NodeStep {
   return stepAdmission(state, { type: "Ticked" }, deps);
 }
 
+/** Applies an event to the admission queue, and carries out its decisions. */
 export function stepAdmission(
   state: NodeState,
   event: AdmissionEvent,
@@ -79,6 +81,7 @@
   }
 }
 
+/** Runs an admitted attempt, after it has won its claim where it needs one. */
 function runServed(
   state: NodeState,
   attemptId: string,
@@ -98,7 +101,10 @@
     : sendServed(next, attemptId, deps);
 }
 
-/** Hands an attempt to the local backend server. */
+/**
+ * Sends an attempt to the local backend server; one that is a suspect needs a
+ * lease first.
+ */
 export function sendServed(
   state: NodeState,
   attemptId: string,
@@ -117,7 +123,7 @@
     );
   }
   const remainingMs = deadlineMs - deps.nowMs;
-  const collecting = isClaimNeeded(call)
+  const collection = isClaimNeeded(call)
     ? { collectBytes: MAX_STORED_BYTES }
     : {};
   return createReduction(state, [
@@ -133,12 +139,12 @@
       peer: "backend",
       context: { ...context, remainingMs, retryTokens: pool.left },
       maxBodyBytes: row.maxBodyBytes,
-      ...collecting,
+      ...collection,
     },
   ]);
 }
 
-/** Ends an attempt that did not run. */
+/** Ends an attempt that did not run, and records its refusal. */
 export function refuseServed(
   state: NodeState,
   attemptId: string,
@@ -160,7 +166,7 @@
   });
 }
 
-/** Ends an attempt with an answer of the node's own. */
+/** Ends an attempt with an answer that the node generates. */
 export function settleServed(
   state: NodeState,
   attemptId: string,
@@ -186,6 +192,7 @@
   return appendEffects(step, createAnswer(call.exchangeId, answer, signals));
 }
 
+/** Removes an attempt: frees its slot, ends its claim and cancels its calls. */
 export function releaseServed(
   state: NodeState,
   attemptId: string,
@@ -195,10 +202,10 @@
   const key: TimerKey = { owner: "served", id: attemptId };
   const served = deleteEntry(state.served, attemptId);
   const isQueued = call.phase === "queued";
-  const as = isUnsent(state, call) ? "refused" : "ended";
+  const settledAs = isUnsent(state, call) ? "refused" : "ended";
   const settled = rememberSettled(
     state.settled,
-    { attemptId, as },
+    { attemptId, as: settledAs },
     deps.nowMs,
   );
   const result = isAnswered(call) ? "answered" : "cancelled";
--- a/src/engine/call/common/served_types.ts
+++ b/src/engine/call/common/served_types.ts
@@ -1,19 +1,19 @@
-/** What the steps of served attempts share. */
+/** Types that the steps of served attempts share. */
 import type { Reduction } from "../../../base/common/reduction.ts";
 import type { OwnAnswer } from "./answers.ts";
 import type { AttemptAnswer, NodeEffect } from "./call_events.ts";
 import type { NodeState } from "./node_state.ts";
 
-/** A step of the node. */
+/** Next state of a node, with the effects to perform. */
 export type NodeStep = Reduction<NodeState, NodeEffect>;
 
-/** What a served attempt came to, told to the entry call on this node. */
+/** Result of a served attempt whose entry call is on this node too. */
 export type LocalResult =
   | { readonly type: "Refused"; readonly answer: OwnAnswer }
   | { readonly type: "Answered"; readonly answer: AttemptAnswer }
   | { readonly type: "Failed"; readonly answer: OwnAnswer };
 
-/** Tells the entry call of a local attempt; passed in, to avoid a cycle. */
+/** Applies the result of a local attempt; injected to avoid an import cycle. */
 export type SettleLocal = (
   state: NodeState,
   attemptId: string,
@@ -21,15 +21,16 @@
   nowMs: number,
 ) => NodeStep;
 
-/** Cancels the calls that a served attempt made; passed in, as above. */
+/** Cancels the calls of a served attempt; injected to avoid an import cycle. */
 export type CancelChildren = (
   state: NodeState,
   parentId: string,
   deps: ServedDeps,
 ) => NodeStep;
 
-/** What the steps of served attempts need besides the state. */
+/** Dependencies of the steps of served attempts, besides the state. */
 export interface ServedDeps {
+  /** Wall clock in milliseconds. */
   readonly nowMs: number;
   readonly settleLocal: SettleLocal;
   readonly cancelChildren: CancelChildren;
--- a/src/engine/call/common/subscription_step.ts
+++ b/src/engine/call/common/subscription_step.ts
@@ -1,4 +1,4 @@
-/** Folds subscriptions into a node: to the services that it calls. */
+/** Subscriptions of a node to the services that it calls. */
 import { deleteEntry } from "../../../base/common/maps.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
 import { findDisused, noteUse } from "../../link/common/subscriptions.ts";
@@ -6,7 +6,7 @@
 import type { NodeState } from "./node_state.ts";
 import type { NodeStep } from "./served_types.ts";
 
-/** Notes that a service is called. */
+/** Records that a service is called. */
 export function recordServiceUse(
   state: NodeState,
   service: string,
@@ -18,18 +18,18 @@
     : { ...state, subscriptions };
 }
 
-/** Unsubscribes from services that weren't called for long. */
+/** Unsubscribes from services not called lately, except the node's own. */
 export function unsubscribeUnused(state: NodeState, nowMs: number): NodeStep {
   const own = state.self.service;
-  const disused = findDisused(state.subscriptions, nowMs)
+  const unused = findDisused(state.subscriptions, nowMs)
     .filter((service) => service !== own);
-  if (disused.length === 0) {
+  if (unused.length === 0) {
     return createReduction(state);
   }
   let { subscriptions } = state;
   let { services } = state.routing;
   const effects: NodeEffect[] = [];
-  for (const service of disused) {
+  for (const service of unused) {
     subscriptions = deleteEntry(subscriptions, service);
     services = deleteEntry(services, service);
     effects.push({ type: "UnsubscribeService", service });
--- a/src/engine/call/common/table_intake.ts
+++ b/src/engine/call/common/table_intake.ts
@@ -1,23 +1,26 @@
-/** Which tables come into force at a node: upwards only, confirmed first. */
+/**
+ * Activation of tables at a node. Versions only increase, and the first table
+ * should be one that a quorum has confirmed.
+ */
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { Table } from "../../table/common/table_row.ts";
 import type { NodeEffect } from "./call_events.ts";
 import type { NodeState } from "./node_state.ts";
 import type { NodeStep } from "./served_types.ts";
 
-/** How long a starting node looks for a replica that is current. */
+/** Time that a starting node waits for a confirmed table. */
 export const CONFIRMED_WAIT_MS = 10_000;
 
 /** A table as a control replica sends it. */
 export interface ReceivedTable {
   readonly table: Table;
-  /** Whether a quorum vouched for it. */
+  /** Whether a quorum of replicas confirmed it. */
   readonly isConfirmed: boolean;
 }
 
 /**
- * A table takes effect only if it is newer than the one in force. A starting
- * node waits for a confirmed one first.
+ * Activates a table unless it is older than the one in force. A starting node
+ * keeps an unconfirmed table as a candidate.
  */
 export function receiveTable(
   state: NodeState,
@@ -34,7 +37,7 @@
     : activateTable(state, received);
 }
 
-/** After a time without a confirmed table, takes the highest one found. */
+/** Activates the candidate once `CONFIRMED_WAIT_MS` has passed. */
 export function activateCandidate(state: NodeState, nowMs: number): NodeStep {
   const { tableCandidate } = state;
   const isDue = tableCandidate !== undefined &&
@@ -44,16 +47,18 @@
     : createReduction(state);
 }
 
+/** Keeps the candidate of the highest version; the wait goes on. */
 function updateCandidate(
   state: NodeState,
   table: Table,
   nowMs: number,
 ): NodeState {
-  const { tableCandidate: known } = state;
-  const isHigher = known === undefined || table.version > known.table.version;
+  const { tableCandidate: current } = state;
+  const isNewer = current === undefined ||
+    table.version > current.table.version;
   const tableCandidate = {
-    table: isHigher ? table : known.table,
-    sinceMs: known?.sinceMs ?? nowMs,
+    table: isNewer ? table : current.table,
+    sinceMs: current?.sinceMs ?? nowMs,
   };
   return { ...state, tableCandidate };
 }
