--- a/src/engine/call/common/call_events.ts
+++ b/src/engine/call/common/call_events.ts
@@ -104,7 +104,10 @@
   | { readonly type: "AttemptEnded"; readonly attemptId: string }
   /** The answer ended before it was complete. */
   | { readonly type: "AnswerCut"; readonly attemptId: string }
-  /** No byte of a relayed answer came between two checks, though it is read. */
+  /**
+   * No byte of a relayed answer arrived between two checks, though the receiver
+   * of the answer reads.
+   */
   | {
     readonly type: "AnswerQuiet";
     readonly attemptId: string;
@@ -203,7 +206,10 @@
   }
   /** Tests whether the local backend server accepts a new connection. */
   | { readonly type: "ProbeBackend"; readonly address: string }
-  /** Breaks the caller's connection, lest a cut answer seem complete. */
+  /**
+   * Breaks the caller's connection, so that the caller can't take a cut answer
+   * for a complete one.
+   */
   | { readonly type: "DropExchange"; readonly exchangeId: string }
   | {
     readonly type: "StartTimer";
@@ -231,7 +237,10 @@
     /** Whether to open a new connection for this message alone. */
     readonly isFresh: boolean;
   }
-  /** Reports to control that the records of an older epoch are copied. */
+  /**
+   * Reports to control that the claim records of an older epoch are copied;
+   * one holder set is in force in each epoch.
+   */
   | {
     readonly type: "ReportCopied";
     readonly service: string;
--- a/src/engine/call/common/claim_steps.ts
+++ b/src/engine/call/common/claim_steps.ts
@@ -1,6 +1,7 @@
 /**
  * Claims of served attempts. A claim lets at most one attempt run for an
- * idempotency key; its holders are the nodes that store and vote on it.
+ * idempotency key. Its holders are the nodes that vote on the claim and store
+ * its outcome.
  */
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { Reduction } from "../../../base/common/reduction.ts";
--- a/src/engine/call/common/crash_steps.ts
+++ b/src/engine/call/common/crash_steps.ts
@@ -262,8 +262,8 @@
 }
 
 /**
- * Records a crash, and reports its suspects to the other nodes. A request that
- * was a suspect before, and is the only one among those that ran, is `guilty`.
+ * Records a crash, and reports all requests that ran then to the other nodes as
+ * suspects. If exactly one of them was a suspect before, it is `guilty`.
  */
 function reportCrash(
   state: NodeState,
--- a/src/engine/call/common/entry_attempts.ts
+++ b/src/engine/call/common/entry_attempts.ts
@@ -40,7 +40,7 @@
 import { recordServiceUse } from "./subscription_step.ts";
 import type { LocalResult, NodeStep, ServedDeps } from "./served_types.ts";
 
-/** Status that a node answers with when its backend server did not answer. */
+/** Status of an answer in place of one that did not arrive. */
 const BACKEND_FAILED_STATUS = 502;
 
 /** Selects a backend server for the call and sends an attempt. */
@@ -151,7 +151,7 @@
   exchangeId: string,
   settled: {
     readonly isNotRun: boolean;
-    /** Whether no connection could be made. */
+    /** Whether the receiver provably got nothing, for want of a connection. */
     readonly isUnsent?: boolean;
     readonly reason: string;
   },
@@ -195,9 +195,13 @@
     return createReduction(state);
   }
   const isNotRun = result.type === "Refused";
-  const kind = isNotRun ? "refused" : "failed";
+  const attemptResult = isNotRun ? "refused" : "failed";
   const { loadHint: hintedLoad } = state;
-  const report = { result: kind, isDraining: false, hintedLoad } as const;
+  const report = {
+    result: attemptResult,
+    isDraining: false,
+    hintedLoad,
+  } as const;
   const reported = reportAttempt(state, call, report, nowMs);
   const tokens = isNotRun ? call.attempt.tokens : 0;
   const next = settleAttempt(reported, exchangeId, { tokens, isNotRun });
@@ -251,6 +255,7 @@
   });
 }
 
+/** Sends an attempt, with half of the call's retry tokens, to a node. */
 function sendAttempt(
   state: NodeState,
   call: EntryCall,
@@ -336,6 +341,7 @@
   }, createServedDeps(nowMs));
 }
 
+/** Retries a call where it may, else ends it with `answer`. */
 function retryOrEnd(
   state: NodeState,
   exchangeId: string,
@@ -371,6 +377,7 @@
   return tryAttempt(recordReroute(state, exchangeId), exchangeId, nowMs);
 }
 
+/** Starts relaying an answer to the caller; the call is no longer retried. */
 function relayAnswer(
   state: NodeState,
   settled: EntryCall,
--- a/src/engine/call/common/entry_reply.ts
+++ b/src/engine/call/common/entry_reply.ts
@@ -37,7 +37,7 @@
   | "forgotten"
   | "silent";
 
-/** Consecutive replies without progress after which an attempt is abandoned. */
+/** Consecutive requests without a sign of progress that end an attempt. */
 const MAX_MISSED_STATUSES = 2;
 /** Time for an answer in transit before the status is requested again. */
 const ANSWER_GRACE_MS = 250;
@@ -62,10 +62,10 @@
 
 function applyStatus(
   state: NodeState,
-  found: { readonly attemptId: string; readonly status: AttemptStatus },
+  reported: { readonly attemptId: string; readonly status: AttemptStatus },
   nowMs: number,
 ): NodeStep {
-  const { attemptId, status } = found;
+  const { attemptId, status } = reported;
   const exchangeId = state.entryOfAttempt.get(attemptId);
   const call = state.entries.get(exchangeId ?? "");
   const attempt = call?.attempt ?? call?.relayed;
@@ -191,7 +191,7 @@
 /**
  * Settles a relayed answer that has stalled. It is cut where its receiver has
  * finished, waits for this node to read, or can't be reached, in
- * `MAX_MISSED_STATUSES` consecutive replies.
+ * `MAX_MISSED_STATUSES` consecutive requests.
  */
 function settleStalledAnswer(
   state: NodeState,
--- a/src/engine/call/common/entry_reroute.ts
+++ b/src/engine/call/common/entry_reroute.ts
@@ -6,8 +6,8 @@
  * Limit of attempts without a retry token, per call. The attempts that they
  * replace did not run and took no slot: a draining node refused them, or no
  * connection could be made. The work of a call tree therefore stays within its
- * retry tokens, and its attempts within three times what the tokens allow. One
- * is not enough, because the nodes of a rolling restart overlap.
+ * retry tokens, and its attempts within three times what the tokens allow. The
+ * limit is two because several nodes drain at once in a rolling restart.
  */
 export const MAX_REROUTES = 2;
 
--- a/src/engine/call/common/entry_rules.ts
+++ b/src/engine/call/common/entry_rules.ts
@@ -5,7 +5,7 @@
 } from "../../retry/common/retry_budget.ts";
 import type { EntryCall, NodeState } from "./node_state.ts";
 
-/** Part of the remaining time by which a receiver's deadline is earlier. */
+/** Part of the remaining time that the receiver's deadline is earlier by. */
 const HOP_MARGIN_RATIO = 0.05;
 /** Upper bound of that margin. */
 const MAX_HOP_MARGIN_MS = 10;
--- a/src/engine/call/common/node_reducer.ts
+++ b/src/engine/call/common/node_reducer.ts
@@ -297,8 +297,8 @@
 }
 
 /**
- * Starts draining. The node applies its own announcement at once, so that its
- * own calls are routed to other nodes first.
+ * Starts draining. The node applies its announcement to its own routing at
+ * once, before other nodes receive it.
  */
 function startDrain(state: NodeState, nowMs: number): NodeStep {
   if (state.self.isDraining) {
--- a/src/engine/call/common/quarantine_ledger.ts
+++ b/src/engine/call/common/quarantine_ledger.ts
@@ -48,7 +48,7 @@
 const MAX_SUSPECTS_PER_MESSAGE = 1_024;
 /** Retry delay while the owner has no capacity for another suspect. */
 const LEDGER_FULL_RETRY_MS = 10_000;
-/** Interval at which owners are asked about suspects that remain. */
+/** Interval at which owners are asked about remaining suspects. */
 const CHECK_INTERVAL_MS = 3_000;
 /** Prefix of the request ids of verdicts; the node id follows. */
 const VERDICT_PREFIX = `${QUARANTINE_PREFIX}verdict/`;
@@ -84,7 +84,12 @@
   );
 }
 
-/** Records what ran when a backend server crashed, and judges own suspects. */
+/**
+ * Records what ran when a backend server crashed, and applies it to the
+ * suspects that this node owns. A suspect that was cleared just before is
+ * recorded again only if it is guilty, as the report may be older than the
+ * verdict.
+ */
 export function recordCrash(
   state: NodeState,
   crash: Omit<Message<"TellSuspects">, "type">,
@@ -184,8 +189,8 @@
 
 /**
  * Asks owners about suspects that remain. Without this check, a node that
- * missed the message that cleared a suspect would refuse that request beside
- * any other suspect for two days.
+ * missed the message that cleared a suspect would, for two days, refuse that
+ * request while any other suspect runs.
  */
 function checkSuspects(state: NodeState, nowMs: number): Step {
   const { known, checkedAtMs, ledger } = state.quarantine;
--- a/src/engine/call/common/quarantine_steps.ts
+++ b/src/engine/call/common/quarantine_steps.ts
@@ -299,10 +299,12 @@
     const leases = deleteEntry(state.quarantine.leases, attemptId);
     return createReduction(putQuarantine(state, { leases }));
   }
-  const renewed: LocalLease = { ...lease, toldAtMs: nowMs };
+  const notified: LocalLease = { ...lease, toldAtMs: nowMs };
   return appendEffects(
-    createReduction<NodeState, NodeEffect>(putLease(state, attemptId, renewed)),
-    createEndRequest(state, attemptId, renewed),
+    createReduction<NodeState, NodeEffect>(
+      putLease(state, attemptId, notified),
+    ),
+    createEndRequest(state, attemptId, notified),
   );
 }
 
--- a/src/engine/call/common/served_steps.ts
+++ b/src/engine/call/common/served_steps.ts
@@ -42,12 +42,12 @@
   return call.phase === "relaying" || call.phase === "blocked";
 }
 
-/** Lets the admission queue advance: queued requests may run or be refused. */
+/** Advances admission with time: queued requests may run or be refused. */
 export function tickAdmission(state: NodeState, deps: ServedDeps): NodeStep {
   return stepAdmission(state, { type: "Ticked" }, deps);
 }
 
-/** Applies an event to the admission queue, and carries out its decisions. */
+/** Applies an event to admission, and carries out its decisions. */
 export function stepAdmission(
   state: NodeState,
   event: AdmissionEvent,
