--- a/src/engine/call/common/crash_steps.ts
+++ b/src/engine/call/common/crash_steps.ts
@@ -276,10 +276,12 @@
     ...new Set(
       [...sent, ...abandoned.filter((run) => run.untilMs > nowMs)]
         .map(({ fingerprint }) => fingerprint)
-        .filter((one): one is Fingerprint => one !== undefined),
+        .filter((fingerprint): fingerprint is Fingerprint =>
+          fingerprint !== undefined
+        ),
     ),
   ];
-  const suspects = fingerprints.filter((one) => known.has(one));
+  const suspects = fingerprints.filter((fingerprint) => known.has(fingerprint));
   const guilty = suspects.length === 1 ? suspects : [];
   const { nodeId } = state.self;
   const peers = listPeers(state)
@@ -343,7 +345,7 @@
   settle: SettleHeldFailure,
 ): NodeStep {
   const held = state.quarantine.watch?.held ?? [];
-  const done = putQuarantine(state, { watch: undefined });
+  const ended = putQuarantine(state, { watch: undefined });
   return held.reduce<NodeStep>(
     (step, failure) =>
       chainReduction(
@@ -353,6 +355,6 @@
             ? settle(s, failure)
             : createReduction(s),
       ),
-    createReduction(done),
+    createReduction(ended),
   );
 }
--- a/src/engine/call/common/peer_reducer.ts
+++ b/src/engine/call/common/peer_reducer.ts
@@ -23,10 +23,10 @@
 /** Handles one message, and replies to it. */
 export function answerPeer(
   state: NodeState,
-  asked: { readonly askId: number; readonly message: PeerMessage },
+  request: { readonly askId: number; readonly message: PeerMessage },
   nowMs: number,
 ): Reduction<NodeState, NodeEffect> {
-  const { askId, message } = asked;
+  const { askId, message } = request;
   if (message.type === "FenceAttempts") {
     return fenceAttempts(state, askId, message, nowMs);
   }
@@ -60,10 +60,10 @@
   const isSameProcess = message.incarnation === state.self.incarnation;
   const found: FoundAttempt[] = [];
   let next = state;
-  for (const asked of message.attempts) {
-    const known = findAttempt(next, asked.attemptId);
+  for (const attempt of message.attempts) {
+    const known = findAttempt(next, attempt.attemptId);
     const settled = known === undefined && isSameProcess
-      ? fenceAttempt(next, asked, nowMs)
+      ? fenceAttempt(next, attempt, nowMs)
       : undefined;
     next = settled ?? next;
     const isFenced = settled !== undefined;
@@ -96,9 +96,9 @@
 /** Fences an attempt; undefined where that would prove nothing. */
 function fenceAttempt(
   state: NodeState,
-  asked: AskedAttempt,
+  attempt: AskedAttempt,
   nowMs: number,
 ): NodeState | undefined {
-  const settled = fenceSettled(state.settled, asked, nowMs);
+  const settled = fenceSettled(state.settled, attempt, nowMs);
   return settled === undefined ? undefined : { ...state, settled };
 }
--- a/src/engine/call/common/quarantine_ledger.ts
+++ b/src/engine/call/common/quarantine_ledger.ts
@@ -58,10 +58,10 @@
 /** Replies to a quarantine message of another node, or of this one. */
 export function answerQuarantine(
   state: NodeState,
-  asked: { readonly askId: number; readonly message: QuarantineMessage },
+  request: { readonly askId: number; readonly message: QuarantineMessage },
   nowMs: number,
 ): Step {
-  const { askId, message } = asked;
+  const { askId, message } = request;
   if (message.type === "RequestRun") {
     return decideRun(state, askId, message, nowMs);
   }
@@ -69,7 +69,9 @@
     const { cleared } = state.quarantine;
     const reply = {
       type: "SuspectsChecked",
-      cleared: message.fingerprints.filter((one) => cleared.has(one)),
+      cleared: message.fingerprints.filter((fingerprint) =>
+        cleared.has(fingerprint)
+      ),
     } as const;
     return createReduction(state, [{ type: "AnswerPeer", askId, reply }]);
   }
@@ -97,8 +99,9 @@
 ): Step {
   const { nodeId, guilty } = crash;
   const { known, ledger, cleared } = state.quarantine;
-  const fingerprints = crash.fingerprints.filter((one) =>
-    guilty?.includes(one) === true || !isAcquitted(cleared, one, nowMs)
+  const fingerprints = crash.fingerprints.filter((fingerprint) =>
+    guilty?.includes(fingerprint) === true ||
+    !isAcquitted(cleared, fingerprint, nowMs)
   );
   const recorded = putQuarantine(state, {
     known: noteSuspects(known, fingerprints, nowMs),
@@ -109,7 +112,7 @@
     findOwner(state, fingerprint)?.nodeId === state.self.nodeId
   ).slice(0, Math.max(0, freeCapacity));
   const owned = [
-    ...fingerprints.filter((one) => ledger.suspects.has(one)),
+    ...fingerprints.filter((fingerprint) => ledger.suspects.has(fingerprint)),
     ...added,
   ];
   return owned.length === 0 ? createReduction(recorded) : stepLedger(
@@ -248,10 +251,10 @@
 function decideRun(
   state: NodeState,
   askId: number,
-  asked: Message<"RequestRun">,
+  request: Message<"RequestRun">,
   nowMs: number,
 ): Step {
-  const { fingerprint, nodeId, timeoutMs } = asked;
+  const { fingerprint, nodeId, timeoutMs } = request;
   const { suspects } = state.quarantine.ledger;
   const isKnown = suspects.has(fingerprint);
   if (!isKnown && suspects.size >= MAX_KNOWN_SUSPECTS) {
@@ -302,8 +305,8 @@
     ? state
     : putQuarantine(state, { ledger: step.state });
   return step.effects.reduce<Step>(
-    (done, effect) =>
-      chainReduction(done, (s) => applyDecision(s, effect, nowMs)),
+    (previous, effect) =>
+      chainReduction(previous, (s) => applyDecision(s, effect, nowMs)),
     createReduction(next),
   );
 }
--- a/src/engine/call/common/served_claims.ts
+++ b/src/engine/call/common/served_claims.ts
@@ -110,8 +110,8 @@
   deps: ServedDeps,
 ): NodeStep {
   return step.effects.reduce<NodeStep>(
-    (done, effect) =>
-      chainReduction(done, (next) => applyEffect(next, effect, deps)),
+    (previous, effect) =>
+      chainReduction(previous, (next) => applyEffect(next, effect, deps)),
     createReduction({ ...state, claims: step.state }),
   );
 }
--- a/src/engine/call/common/served_steps.ts
+++ b/src/engine/call/common/served_steps.ts
@@ -56,8 +56,8 @@
   const step = reduceAdmission(state.admission, event, deps.nowMs);
   const next = { ...state, admission: step.state };
   return step.effects.reduce<NodeStep>(
-    (done, effect) =>
-      chainReduction(done, (s) => applyAdmission(s, effect, deps)),
+    (previous, effect) =>
+      chainReduction(previous, (s) => applyAdmission(s, effect, deps)),
     createReduction(next),
   );
 }
