--- a/src/engine/call/common/crash_steps.ts
+++ b/src/engine/call/common/crash_steps.ts
@@ -1,4 +1,7 @@
-/** Finds out whether a failed attempt was a crash, and tells of what ran. */
+/**
+ * Decides whether failed attempts are due to a crash of the backend server, and
+ * reports the suspects, the requests that ran then, to the service's nodes.
+ */
 import { deleteEntry } from "../../../base/common/maps.ts";
 import {
   appendEffects,
@@ -13,41 +16,50 @@
 import type { QuarantineReply } from "../../quarantine/common/quarantine_messages.ts";
 import type { Fingerprint } from "../../quarantine/common/quarantine_reducer.ts";
 import type { NodeEffect } from "./call_events.ts";
-import { withdrawServed } from "./claim_steps.ts";
+import { withdrawServedClaim } from "./claim_steps.ts";
 import type { NodeState, ServedCall } from "./node_state.ts";
-import { CHECK_PREFIX, noteCrash, takeChecked } from "./quarantine_ledger.ts";
 import {
-  createAsk,
-  createBusy,
-  createQuarantined,
+  applyClearedSuspects,
+  CHECK_PREFIX,
+  recordCrash,
+} from "./quarantine_ledger.ts";
+import {
+  applyEndReply,
+  createBusyAnswer,
+  createPeerRequest,
+  createQuarantinedAnswer,
   END_PREFIX,
   endLease,
   LEASE_PREFIX,
   listPeers,
-  NO_OWNER,
+  OWNER_UNAVAILABLE,
   putLease,
   putQuarantine,
-  takeEndReply,
 } from "./quarantine_steps.ts";
 import { failServed } from "./served_reducer.ts";
 import { isUnsent, refuseServed, sendServed } from "./served_steps.ts";
 import type { NodeStep, ServedDeps } from "./served_types.ts";
 
-/** Ends a served attempt whose failure was held; passed in by the node. */
-export type SettleHeld = (state: NodeState, held: HeldFailure) => NodeStep;
+/** Ends an attempt whose failure was held back; injected by the reducer. */
+export type SettleHeldFailure = (
+  state: NodeState,
+  held: HeldFailure,
+) => NodeStep;
 
-const TELL_PREFIX = `${QUARANTINE_PREFIX}tell/`;
-/** Resets at once that show a crash, though the backend server is back. */
-const MIN_RESETS = 2;
-/** Most nodes that are told of suspects. */
-const MAX_TOLD = 1_000;
+/** Prefix of the request ids of crash reports. */
+const CRASH_NOTICE_PREFIX = `${QUARANTINE_PREFIX}tell/`;
+/** Resets at once that indicate a crash, though the backend server answers. */
+const MIN_SIMULTANEOUS_RESETS = 2;
+/** Limit of the nodes that a crash is reported to. */
+const MAX_NOTIFIED_PEERS = 1_000;
 
 /**
- * An attempt failed at the local backend server. One that was sent is held
- * until it is clear whether the backend server died, and until its other
- * nodes know: whoever resends it then meets nodes that have been told.
+ * Handles the failure of an attempt at the local backend server. The failure of
+ * one that was sent is held back until it is known whether the backend server
+ * crashed, and until the other nodes are notified: a resend of the request then
+ * reaches only nodes that know of the suspect.
  */
-export function takeFailure(
+export function receiveFailure(
   state: NodeState,
   failure: {
     readonly attemptId: string;
@@ -61,7 +73,7 @@
   const isJudged = state.quarantine.watch === undefined &&
     state.quarantine.lastJudged.has(attemptId);
   if (isSent && !isJudged) {
-    return keepFailure(state, { attemptId, reason, isReset, isCut: false });
+    return retainFailure(state, { attemptId, reason, isReset, isCut: false });
   }
   const { nowMs } = deps;
   return chainReduction(
@@ -70,11 +82,14 @@
   );
 }
 
-/** Holds the end of an attempt until it is clear whether it was a crash. */
-export function keepFailure(state: NodeState, failure: HeldFailure): NodeStep {
+/** Holds back a failure until it is known whether it was due to a crash. */
+export function retainFailure(
+  state: NodeState,
+  failure: HeldFailure,
+): NodeStep {
   const { watch } = state.quarantine;
   if (watch === undefined) {
-    return startWatch(state, [failure]);
+    return startCrashWatch(state, [failure]);
   }
   const held = [...watch.held, failure];
   return createReduction(
@@ -82,24 +97,27 @@
   );
 }
 
-/** The backend server was probed: all that ran is suspect, or nothing is. */
-export function takeProbe(
+/**
+ * Applies the result of a probe of the backend server: either all requests that
+ * ran become suspects, or none does.
+ */
+export function applyProbe(
   state: NodeState,
   isAlive: boolean,
-  settle: SettleHeld,
+  settle: SettleHeldFailure,
   deps: ServedDeps,
 ): NodeStep {
   const { watch } = state.quarantine;
   if (watch === undefined || watch.judged !== undefined) {
     return createReduction(state);
   }
-  if (!isAlive || isAllReset(state, watch)) {
+  if (!isAlive || isEveryRunReset(state, watch)) {
     return chainReduction(
       reportCrash(state, watch, deps.nowMs),
-      (next) => settleTold(next, settle),
+      (next) => settleNotified(next, settle),
     );
   }
-  const freed = watch.held.reduce<NodeStep>(
+  const released = watch.held.reduce<NodeStep>(
     (step, { attemptId }) =>
       chainReduction(
         step,
@@ -107,33 +125,33 @@
       ),
     createReduction(state),
   );
-  return chainReduction(freed, (next) => settleAll(next, settle));
+  return chainReduction(released, (next) => settleHeldFailures(next, settle));
 }
 
-/** Another node replied to a question or message about suspects. */
-export function takeQuarantineReply(
+/** Handles another node's reply about suspects, or its timeout. */
+export function receiveQuarantineReply(
   state: NodeState,
   replied: {
     readonly requestId: string;
     readonly reply: QuarantineReply | undefined;
   },
-  settle: SettleHeld,
+  settle: SettleHeldFailure,
   deps: ServedDeps,
 ): NodeStep {
   const { requestId, reply } = replied;
   if (requestId.startsWith(LEASE_PREFIX)) {
     const attemptId = requestId.slice(LEASE_PREFIX.length);
-    return takeLease(state, attemptId, reply, deps);
+    return applyLeaseReply(state, attemptId, reply, deps);
   }
   if (requestId.startsWith(END_PREFIX)) {
     const attemptId = requestId.slice(END_PREFIX.length);
-    const isTold = reply !== undefined;
-    return createReduction(takeEndReply(state, attemptId, isTold));
+    const isAcknowledged = reply !== undefined;
+    return createReduction(applyEndReply(state, attemptId, isAcknowledged));
   }
   if (requestId.startsWith(CHECK_PREFIX)) {
     return createReduction(
       reply?.type === "SuspectsChecked"
-        ? takeChecked(state, reply.cleared, deps.nowMs)
+        ? applyClearedSuspects(state, reply.cleared, deps.nowMs)
         : state,
     );
   }
@@ -144,10 +162,11 @@
   const untold = new Set(watch.untold);
   untold.delete(requestId);
   const next = putQuarantine(state, { watch: { ...watch, untold } });
-  return settleTold(next, settle);
+  return settleNotified(next, settle);
 }
 
-function takeLease(
+/** Runs or refuses a suspect, depending on the reply to its lease request. */
+function applyLeaseReply(
   state: NodeState,
   attemptId: string,
   reply: QuarantineReply | undefined,
@@ -174,19 +193,19 @@
   if (reply?.type === "RunRefused") {
     const leases = deleteEntry(state.quarantine.leases, attemptId);
     const answer = reply.reason === "quarantined"
-      ? createQuarantined(reply.retryAfterMs)
-      : createBusy(reply.retryAfterMs);
+      ? createQuarantinedAnswer(reply.retryAfterMs)
+      : createBusyAnswer(reply.retryAfterMs);
     return refuseSuspect(putQuarantine(state, { leases }), {
       call,
       answer,
     }, deps);
   }
-  // The lease may have been granted: it is given back, as nothing ran.
+  // The owner may have granted a lease: it is returned, as nothing ran.
   const leaseId = reply?.type === "RunGranted" ? reply.leaseId : undefined;
-  const known = putLease(state, attemptId, { ...lease, leaseId });
+  const updated = putLease(state, attemptId, { ...lease, leaseId });
   return chainReduction(
-    endLease(known, attemptId, { isWhole: false, nowMs }),
-    (next) => refuseSuspect(next, { call, answer: NO_OWNER }, deps),
+    endLease(updated, attemptId, { isWhole: false, nowMs }),
+    (next) => refuseSuspect(next, { call, answer: OWNER_UNAVAILABLE }, deps),
   );
 }
 
@@ -194,7 +213,7 @@
   state: NodeState,
   refused: {
     readonly call: ServedCall | undefined;
-    readonly answer: typeof NO_OWNER;
+    readonly answer: typeof OWNER_UNAVAILABLE;
   },
   deps: ServedDeps,
 ): NodeStep {
@@ -204,12 +223,13 @@
   }
   const { attemptId } = call;
   return chainReduction(
-    withdrawServed(state, attemptId),
+    withdrawServedClaim(state, attemptId),
     (next) => refuseServed(next, attemptId, answer, deps),
   );
 }
 
-function startWatch(
+/** Starts to investigate failures: probes the backend server. */
+function startCrashWatch(
   state: NodeState,
   held: readonly HeldFailure[],
 ): NodeStep {
@@ -219,50 +239,64 @@
   ]);
 }
 
-/** Whether all that ran was reset at once: a process that is back already. */
-function isAllReset(state: NodeState, watch: CrashWatch): boolean {
+/**
+ * Whether every running attempt was reset at once, as when a process crashed
+ * and has already restarted.
+ */
+function isEveryRunReset(state: NodeState, watch: CrashWatch): boolean {
   const failed = new Set(watch.held.map(({ attemptId }) => attemptId));
-  return failed.size >= MIN_RESETS &&
+  return failed.size >= MIN_SIMULTANEOUS_RESETS &&
     watch.held.every(({ isReset }) => isReset) &&
-    listSent(state).every(({ attemptId }) => failed.has(attemptId));
+    listInFlight(state).every(({ attemptId }) => failed.has(attemptId));
 }
 
-/** Lists the attempts that the backend server has seen and not ended. */
-function listSent(state: NodeState): readonly ServedCall[] {
+/**
+ * Lists the attempts that were sent to the backend server and have not ended,
+ * except those that a crash was already attributed to.
+ */
+function listInFlight(state: NodeState): readonly ServedCall[] {
   const { lastJudged } = state.quarantine;
   return [...state.served.values()].filter((call) =>
     !isUnsent(state, call) && !lastJudged.has(call.attemptId)
   );
 }
 
+/**
+ * Records a crash, and reports all requests that ran then to the other nodes as
+ * suspects. If exactly one of them was a suspect before, it is `guilty`.
+ */
 function reportCrash(
   state: NodeState,
   watch: CrashWatch,
   nowMs: number,
 ): NodeStep {
   const { known, leases, abandoned, nextTell } = state.quarantine;
-  const sent = listSent(state);
+  const sent = listInFlight(state);
   const fingerprints = [
     ...new Set(
       [...sent, ...abandoned.filter((run) => run.untilMs > nowMs)]
         .map(({ fingerprint }) => fingerprint)
-        .filter((one): one is Fingerprint => one !== undefined),
+        .filter((fingerprint): fingerprint is Fingerprint =>
+          fingerprint !== undefined
+        ),
     ),
   ];
-  const suspects = fingerprints.filter((one) => known.has(one));
+  const suspects = fingerprints.filter((fingerprint) => known.has(fingerprint));
   const guilty = suspects.length === 1 ? suspects : [];
   const { nodeId } = state.self;
   const peers = listPeers(state)
     .filter((peer) => peer.nodeId !== nodeId)
-    .slice(0, MAX_TOLD);
-  const ids = peers.map((peer) => `${TELL_PREFIX}${nextTell}/${peer.nodeId}`);
+    .slice(0, MAX_NOTIFIED_PEERS);
+  const ids = peers.map((peer) =>
+    `${CRASH_NOTICE_PREFIX}${nextTell}/${peer.nodeId}`
+  );
   const crash = { nodeId, fingerprints, guilty };
-  const over = [...leases].filter(([, { phase }]) =>
+  const remaining = [...leases].filter(([, { phase }]) =>
     phase !== "running" && phase !== "lingering"
   );
   const judged = new Set(sent.map(({ attemptId }) => attemptId));
   const next = putQuarantine(state, {
-    leases: new Map(over),
+    leases: new Map(remaining),
     abandoned: [],
     lastJudged: judged,
     nextTell: nextTell + 1,
@@ -275,14 +309,20 @@
       event: event as { type: "BackendCrashed"; suspects: number },
     },
     ...peers.map((peer, index) =>
-      createAsk(ids[index]!, peer.ingress, { type: "TellSuspects", ...crash })
+      createPeerRequest(ids[index]!, peer.ingress, {
+        type: "TellSuspects",
+        ...crash,
+      })
     ),
   ];
-  return appendEffects(noteCrash(next, crash, nowMs), ...effects);
+  return appendEffects(recordCrash(next, crash, nowMs), ...effects);
 }
 
-/** Once all nodes have been told, whoever waits for an answer gets one. */
-function settleTold(state: NodeState, settle: SettleHeld): NodeStep {
+/**
+ * Ends the held failures once every node is notified. Failures of attempts that
+ * began after the crash are investigated anew.
+ */
+function settleNotified(state: NodeState, settle: SettleHeldFailure): NodeStep {
   const { watch } = state.quarantine;
   if (watch === undefined || watch.untold.size > 0) {
     return createReduction(state);
@@ -290,18 +330,22 @@
   const { judged } = watch;
   const isNew = ({ attemptId }: HeldFailure) =>
     judged?.has(attemptId) !== true && state.served.has(attemptId);
-  const later = watch.held.filter(isNew);
+  const newer = watch.held.filter(isNew);
   const held = watch.held.filter((failure) => !isNew(failure));
   const rest = putQuarantine(state, { watch: { ...watch, held } });
-  const settled = settleAll(rest, settle);
-  return later.length === 0
+  const settled = settleHeldFailures(rest, settle);
+  return newer.length === 0
     ? settled
-    : chainReduction(settled, (next) => startWatch(next, later));
+    : chainReduction(settled, (next) => startCrashWatch(next, newer));
 }
 
-function settleAll(state: NodeState, settle: SettleHeld): NodeStep {
+/** Ends the investigation and the attempts whose failure was held back. */
+function settleHeldFailures(
+  state: NodeState,
+  settle: SettleHeldFailure,
+): NodeStep {
   const held = state.quarantine.watch?.held ?? [];
-  const done = putQuarantine(state, { watch: undefined });
+  const ended = putQuarantine(state, { watch: undefined });
   return held.reduce<NodeStep>(
     (step, failure) =>
       chainReduction(
@@ -311,6 +355,6 @@
             ? settle(s, failure)
             : createReduction(s),
       ),
-    createReduction(done),
+    createReduction(ended),
   );
 }
--- a/src/engine/call/common/entry_attempts.ts
+++ b/src/engine/call/common/entry_attempts.ts
@@ -1,4 +1,4 @@
-/** Attempts of entry calls: choose, send, settle, retry or end. */
+/** Attempts of entry calls: selects backend servers, sends and retries. */
 import { setEntry } from "../../../base/common/maps.ts";
 import {
   appendEffects,
@@ -16,9 +16,9 @@
 import type { CallContext, CallOutcome } from "./call_context.ts";
 import type { AttemptAnswer, NodeEffect } from "./call_events.ts";
 import { isShed } from "./call_level.ts";
-import { suspectAttempt } from "./entry_ask.ts";
+import { requestAttemptStatus } from "./entry_ask.ts";
 import { abortAttempt, cancelChildren } from "./entry_cancel.ts";
-import { canReroute, createReroute } from "./entry_reroute.ts";
+import { canReroute, recordReroute } from "./entry_reroute.ts";
 import {
   canRetry,
   canRetryUnknown,
@@ -28,7 +28,7 @@
 } from "./entry_rules.ts";
 import {
   closeEntry,
-  createEndRecord,
+  createCallEndedEffect,
   putEntry,
   reportAttempt,
   settleAttempt,
@@ -37,12 +37,13 @@
 import type { Attempt, EntryCall, NodeState } from "./node_state.ts";
 import { admitAttempt } from "./served_receive.ts";
 import { createFingerprint } from "./quarantine_steps.ts";
-import { noteService } from "./subscription_step.ts";
+import { recordServiceUse } from "./subscription_step.ts";
 import type { LocalResult, NodeStep, ServedDeps } from "./served_types.ts";
 
-/** Status of a node whose backend server did not answer. */
-const LOST_STATUS = 502;
-/** Chooses a backend server for the call and sends an attempt. */
+/** Status of an answer in place of one that did not arrive. */
+const BACKEND_FAILED_STATUS = 502;
+
+/** Selects a backend server for the call and sends an attempt. */
 export function tryAttempt(
   before: NodeState,
   exchangeId: string,
@@ -50,7 +51,7 @@
 ): NodeStep {
   const call = before.entries.get(exchangeId)!;
   const { service } = call.row;
-  const state = noteService(before, service, nowMs);
+  const state = recordServiceUse(before, service, nowMs);
   if (call.deadlineMs <= nowMs) {
     return expireEntry(state, exchangeId, nowMs);
   }
@@ -74,7 +75,7 @@
   return sendAttempt(state, call, { attemptId, backend }, nowMs);
 }
 
-/** The head of an answer to a remote attempt has arrived. */
+/** Handles the head of an answer to the current attempt: retries or relays. */
 export function answerEntry(
   state: NodeState,
   exchangeId: string,
@@ -106,14 +107,15 @@
     tokens: answer.tokens,
     isNotRun: isRefused,
   });
-  const isFree = answer.isDraining && canReroute(next, exchangeId);
-  if (isRefused && isFree) {
+  const mayReroute = answer.isDraining && canReroute(next, exchangeId);
+  if (isRefused && mayReroute) {
     const discard: NodeEffect = { type: "DiscardAnswer", attemptId };
     const step = createReduction<NodeState, NodeEffect>(next, [discard]);
     return chainReduction(step, (s) => rerouteEntry(s, exchangeId, nowMs));
   }
-  const isLost = outcome === "unknown" && answer.status === LOST_STATUS;
-  if ((isRefused || isLost) && canRetry(next, exchangeId, nowMs)) {
+  const isBackendFailure = outcome === "unknown" &&
+    answer.status === BACKEND_FAILED_STATUS;
+  if ((isRefused || isBackendFailure) && canRetry(next, exchangeId, nowMs)) {
     const discard: NodeEffect = { type: "DiscardAnswer", attemptId };
     const step = createReduction<NodeState, NodeEffect>(next, [discard]);
     return chainReduction(step, (s) => retryEntry(s, exchangeId, nowMs));
@@ -121,7 +123,10 @@
   return relayAnswer(next, call, call.attempt, answer);
 }
 
-/** A remote attempt brought no answer. */
+/**
+ * Handles the failure of a remote attempt. One that may have run, and may not
+ * be repeated, is settled only once its receiver reports its status.
+ */
 export function failEntry(
   state: NodeState,
   exchangeId: string,
@@ -137,16 +142,16 @@
     const settled = { isNotRun: !isSent, isUnsent: !isSent, reason };
     return settleFailure(state, exchangeId, settled, nowMs);
   }
-  return suspectAttempt(state, exchangeId, { isBroken: true }, nowMs);
+  return requestAttemptStatus(state, exchangeId, { isBroken: true }, nowMs);
 }
 
-/** Ends an attempt without an answer: retries, or ends the call. */
+/** Ends an attempt that got no answer, then retries or ends the call. */
 export function settleFailure(
   state: NodeState,
   exchangeId: string,
   settled: {
     readonly isNotRun: boolean;
-    /** Whether the connection was refused. */
+    /** Whether the receiver provably got nothing, for want of a connection. */
     readonly isUnsent?: boolean;
     readonly reason: string;
   },
@@ -164,13 +169,13 @@
     return rerouteEntry(next, exchangeId, nowMs);
   }
   return retryOrEnd(next, exchangeId, {
-    status: isNotRun ? 503 : LOST_STATUS,
+    status: isNotRun ? 503 : BACKEND_FAILED_STATUS,
     outcome: isNotRun ? "not-run" : "unknown",
     message: `Attempt failed: ${reason}`,
   }, nowMs);
 }
 
-/** An attempt at this node's own backend server came to a result. */
+/** Applies the result of an attempt at this node's own backend server. */
 export function settleLocal(
   state: NodeState,
   attemptId: string,
@@ -190,16 +195,20 @@
     return createReduction(state);
   }
   const isNotRun = result.type === "Refused";
-  const kind = isNotRun ? "refused" : "failed";
+  const attemptResult = isNotRun ? "refused" : "failed";
   const { loadHint: hintedLoad } = state;
-  const report = { result: kind, isDraining: false, hintedLoad } as const;
+  const report = {
+    result: attemptResult,
+    isDraining: false,
+    hintedLoad,
+  } as const;
   const reported = reportAttempt(state, call, report, nowMs);
   const tokens = isNotRun ? call.attempt.tokens : 0;
   const next = settleAttempt(reported, exchangeId, { tokens, isNotRun });
   return retryOrEnd(next, exchangeId, result.answer, nowMs);
 }
 
-/** The time of a call is over. */
+/** Ends a call whose deadline has passed; one that relays an answer goes on. */
 export function expireEntry(
   state: NodeState,
   exchangeId: string,
@@ -220,11 +229,12 @@
   });
 }
 
-/** Creates what the served steps need. */
+/** Creates the dependencies of the steps of served attempts. */
 export function createServedDeps(nowMs: number): ServedDeps {
   return { nowMs, settleLocal, cancelChildren };
 }
 
+/** Refuses a call that ranks below the admission level of its service. */
 function refuseEarly(state: NodeState, call: EntryCall): NodeStep {
   const { exchangeId, context, row } = call;
   const step = endWithAnswer(state, exchangeId, {
@@ -245,13 +255,14 @@
   });
 }
 
+/** Sends an attempt, with half of the call's retry tokens, to a node. */
 function sendAttempt(
   state: NodeState,
   call: EntryCall,
-  chosen: { readonly attemptId: string; readonly backend: BackendView },
+  selected: { readonly attemptId: string; readonly backend: BackendView },
   nowMs: number,
 ): NodeStep {
-  const { attemptId, backend } = chosen;
+  const { attemptId, backend } = selected;
   const { nodeId, service, ingress, incarnation } = backend.announcement;
   const { exchangeId, row } = call;
   const { share, pool } = takeShare(call.pool);
@@ -309,6 +320,7 @@
   });
 }
 
+/** Requests admission of an attempt at this node's own backend server. */
 function admitLocal(
   state: NodeState,
   call: EntryCall,
@@ -329,6 +341,7 @@
   }, createServedDeps(nowMs));
 }
 
+/** Retries a call where it may, else ends it with `answer`. */
 function retryOrEnd(
   state: NodeState,
   exchangeId: string,
@@ -343,6 +356,7 @@
   return endWithAnswer(state, exchangeId, { ...answer, outcome });
 }
 
+/** Spends a retry token on the next attempt. */
 function retryEntry(
   state: NodeState,
   exchangeId: string,
@@ -354,14 +368,16 @@
   return tryAttempt(next, exchangeId, nowMs);
 }
 
+/** Sends the next attempt without a retry token; see `MAX_REROUTES`. */
 function rerouteEntry(
   state: NodeState,
   exchangeId: string,
   nowMs: number,
 ): NodeStep {
-  return tryAttempt(createReroute(state, exchangeId), exchangeId, nowMs);
+  return tryAttempt(recordReroute(state, exchangeId), exchangeId, nowMs);
 }
 
+/** Starts relaying an answer to the caller; the call is no longer retried. */
 function relayAnswer(
   state: NodeState,
   settled: EntryCall,
@@ -383,7 +399,7 @@
   });
   return createReduction(next, [
     { type: "RelayAnswer", exchangeId, attemptId, headers },
-    createEndRecord(call, answer.status, outcome),
+    createCallEndedEffect(call, answer.status, outcome),
   ]);
 }
 
@@ -397,6 +413,6 @@
   return appendEffects(
     step,
     createAnswer(exchangeId, answer),
-    createEndRecord(call, answer.status, answer.outcome),
+    createCallEndedEffect(call, answer.status, answer.outcome),
   );
 }
--- a/src/engine/call/common/node_reducer.ts
+++ b/src/engine/call/common/node_reducer.ts
@@ -1,4 +1,4 @@
-/** The one reducer of a node: every event goes through here. */
+/** Reducer of a node: handles every event. */
 import { createReduction } from "../../../base/common/reduction.ts";
 import {
   appendEffects,
@@ -12,7 +12,7 @@
 import { isServiceKnown } from "../../routing/common/routing_state.ts";
 import { createAnswer } from "./answers.ts";
 import type { NodeEffect, NodeEvent, TimerKey } from "./call_events.ts";
-import { noteDownstream } from "./downstream_time.ts";
+import { updateDownstreamTime } from "./downstream_time.ts";
 import type { NodeState } from "./node_state.ts";
 import {
   answerEntry,
@@ -21,18 +21,18 @@
   failEntry,
 } from "./entry_attempts.ts";
 import { receiveEntry } from "./entry_open.ts";
-import { watchAttempts } from "./entry_ask.ts";
+import { detectStalledAttempts } from "./entry_ask.ts";
 import { cancelEntry } from "./entry_cancel.ts";
 import { endEntry, resumeEntries } from "./entry_reducer.ts";
-import { settleAsked, suspectAnswer } from "./entry_reply.ts";
+import { applyStatusReply, handleStalledAnswer } from "./entry_reply.ts";
 import {
-  keepFailure,
-  takeFailure,
-  takeProbe,
-  takeQuarantineReply,
+  applyProbe,
+  receiveFailure,
+  receiveQuarantineReply,
+  retainFailure,
 } from "./crash_steps.ts";
-import type { SettleHeld } from "./crash_steps.ts";
-import { tellJoined, tickLedger } from "./quarantine_ledger.ts";
+import type { SettleHeldFailure } from "./crash_steps.ts";
+import { notifyJoinedNode, tickLedger } from "./quarantine_ledger.ts";
 import { tickLeases } from "./quarantine_steps.ts";
 import { stepRouting } from "./entry_state.ts";
 import { answerPeer } from "./peer_reducer.ts";
@@ -42,29 +42,29 @@
   endServed,
   expireServed,
   failServed,
-  noteBlocked,
+  recordBlocked,
 } from "./served_reducer.ts";
 import { receiveIngress } from "./served_receive.ts";
-import { updateServed } from "./served_steps.ts";
+import { tickAdmission } from "./served_steps.ts";
 import type { NodeStep, ServedDeps } from "./served_types.ts";
 import {
-  keepAnswer,
+  receiveHolderReply,
+  receiveHolderSets,
+  recordAnswer,
   resumeServed,
-  takeHolderReply,
-  takeHolderSets,
   tickServedClaims,
 } from "./served_claims.ts";
-import { takeCandidate, takeTable } from "./table_intake.ts";
-import { dropDisused } from "./subscription_step.ts";
+import { activateCandidate, receiveTable } from "./table_intake.ts";
+import { unsubscribeUnused } from "./subscription_step.ts";
 
-/** Steps a node; `nowMs` is the wall clock in milliseconds. */
+/** Applies an event to a node; `nowMs` is the wall clock in milliseconds. */
 export function reduceNode(
   state: NodeState,
   event: NodeEvent,
   nowMs: number,
 ): NodeStep {
   const step = applyEvent(state, event, nowMs);
-  return { ...step, state: noteDownstream(state, step.state, nowMs) };
+  return { ...step, state: updateDownstreamTime(state, step.state, nowMs) };
 }
 
 function applyEvent(
@@ -81,7 +81,7 @@
     case "AttemptAnswered":
       return applyAnswer(state, event, nowMs);
     case "AnswerCollected":
-      return keepAnswer(state, event.attemptId, event, deps);
+      return recordAnswer(state, event.attemptId, event, deps);
     case "AttemptFailed":
       return applyFailure(state, event, nowMs);
     case "AttemptEnded":
@@ -89,11 +89,16 @@
     case "AnswerCut":
       return applyCut(state, event.attemptId, nowMs);
     case "BackendProbed":
-      return takeProbe(state, event.isAlive, createSettleHeld(nowMs), deps);
+      return applyProbe(
+        state,
+        event.isAlive,
+        createFailureSettler(nowMs),
+        deps,
+      );
     case "AnswerQuiet":
-      return suspectAnswer(state, event, nowMs);
+      return handleStalledAnswer(state, event, nowMs);
     case "AnswerBlocked":
-      return noteBlocked(state, event.attemptId, event.isBlocked);
+      return recordBlocked(state, event.attemptId, event.isBlocked);
     case "CallerLeft":
       return cancelExchange(state, event.exchangeId, nowMs);
     case "BodyLimitPassed":
@@ -101,11 +106,11 @@
     case "TimerFired":
       return applyTimer(state, event.key, nowMs);
     case "TableReceived":
-      return takeTable(state, event, nowMs);
+      return receiveTable(state, event, nowMs);
     case "DrainRequested":
       return startDrain(state, nowMs);
     case "HolderSetsReceived":
-      return takeHolderSets(state, event.sets, deps);
+      return receiveHolderSets(state, event.sets, deps);
     case "Ticked":
       return tickNode(state, deps);
     case "PeerAsked":
@@ -122,7 +127,7 @@
       );
     case "MemberPublished":
       return chainReduction(
-        tellJoined(state, event.announcement, nowMs),
+        notifyJoinedNode(state, event.announcement, nowMs),
         (next) => createReduction(stepRouting(next, event, nowMs)),
       );
     case "MemberLost":
@@ -132,16 +137,16 @@
   }
 }
 
-/** What a node looks after as time passes. */
+/** Runs the periodic work of a node. */
 function tickNode(state: NodeState, deps: ServedDeps): NodeStep {
   const steps: readonly ((next: NodeState) => NodeStep)[] = [
-    (next) => updateServed(next, deps),
-    (next) => watchAttempts(next, deps.nowMs),
+    (next) => tickAdmission(next, deps),
+    (next) => detectStalledAttempts(next, deps.nowMs),
     (next) => tickServedClaims(next, deps),
-    (next) => takeCandidate(next, deps.nowMs),
+    (next) => activateCandidate(next, deps.nowMs),
     (next) => tickLeases(next, deps.nowMs),
     (next) => tickLedger(next, deps.nowMs),
-    (next) => dropDisused(next, deps.nowMs),
+    (next) => unsubscribeUnused(next, deps.nowMs),
   ];
   return steps.reduce<NodeStep>(chainReduction, createReduction(state));
 }
@@ -153,13 +158,23 @@
 ): NodeStep {
   const { requestId, reply } = event;
   if (requestId.startsWith(QUARANTINE_PREFIX)) {
-    const settle = createSettleHeld(deps.nowMs);
-    const told = reply as QuarantineReply | undefined;
-    return takeQuarantineReply(state, { requestId, reply: told }, settle, deps);
+    const settle = createFailureSettler(deps.nowMs);
+    const received = reply as QuarantineReply | undefined;
+    return receiveQuarantineReply(
+      state,
+      { requestId, reply: received },
+      settle,
+      deps,
+    );
   }
   return requestId.startsWith(CLAIM_PREFIX)
-    ? takeHolderReply(state, requestId, reply as ClaimReply | undefined, deps)
-    : settleAsked(state, event, deps.nowMs);
+    ? receiveHolderReply(
+      state,
+      requestId,
+      reply as ClaimReply | undefined,
+      deps,
+    )
+    : applyStatusReply(state, event, deps.nowMs);
 }
 
 function applyAnswer(
@@ -184,7 +199,7 @@
   nowMs: number,
 ): NodeStep {
   if (state.served.has(event.attemptId)) {
-    return takeFailure(state, event, createServedDeps(nowMs));
+    return receiveFailure(state, event, createServedDeps(nowMs));
   }
   const exchangeId = state.entryOfAttempt.get(event.attemptId);
   return exchangeId === undefined
@@ -192,7 +207,7 @@
     : failEntry(state, exchangeId, event, nowMs);
 }
 
-/** An answer of the backend server broke off, or one that another relays. */
+/** Handles a cut answer, of the local backend server or another node. */
 function applyCut(
   state: NodeState,
   attemptId: string,
@@ -200,12 +215,12 @@
 ): NodeStep {
   const reason = "Answer was cut";
   return state.served.has(attemptId)
-    ? keepFailure(state, { attemptId, reason, isReset: true, isCut: true })
+    ? retainFailure(state, { attemptId, reason, isReset: true, isCut: true })
     : applyEnd(state, attemptId, false, nowMs);
 }
 
-/** Ends attempts whose failure was held. */
-function createSettleHeld(nowMs: number): SettleHeld {
+/** Creates the function that ends attempts whose failure was held back. */
+function createFailureSettler(nowMs: number): SettleHeldFailure {
   const deps = createServedDeps(nowMs);
   return (state, held) =>
     held.isCut
@@ -213,6 +228,7 @@
       : failServed(state, { ...held, isSent: true }, deps);
 }
 
+/** Ends an attempt whose answer is complete or was cut, and its entry call. */
 function applyEnd(
   state: NodeState,
   attemptId: string,
@@ -231,6 +247,7 @@
   });
 }
 
+/** Cancels the entry call or served attempt of an exchange. */
 function cancelExchange(
   state: NodeState,
   exchangeId: string,
@@ -248,7 +265,7 @@
   return cancelServed(state, call.attemptId, createServedDeps(nowMs));
 }
 
-/** A chunked body went over its row's limit while it was sent. */
+/** Refuses a chunked body that exceeded the limit of its kind while sent. */
 function refuseBody(
   state: NodeState,
   exchangeId: string,
@@ -279,7 +296,10 @@
   return expireServed(state, key.id, createServedDeps(nowMs));
 }
 
-/** The node itself is the first to route its own calls elsewhere. */
+/**
+ * Starts draining. The node applies its announcement to its own routing at
+ * once, before other nodes receive it.
+ */
 function startDrain(state: NodeState, nowMs: number): NodeStep {
   if (state.self.isDraining) {
     return createReduction(state);
--- a/src/engine/call/common/quarantine_ledger.ts
+++ b/src/engine/call/common/quarantine_ledger.ts
@@ -1,4 +1,7 @@
-/** The node as owner of suspects: decides, answers and tells the others. */
+/**
+ * The node as owner of suspects: it decides which of them run, replies to lease
+ * requests, and notifies the other nodes of its service.
+ */
 import { deleteEntry } from "../../../base/common/maps.ts";
 import {
   chainReduction,
@@ -30,7 +33,7 @@
 import type { NodeEffect } from "./call_events.ts";
 import type { NodeState } from "./node_state.ts";
 import {
-  createAsk,
+  createPeerRequest,
   findOwner,
   listPeers,
   putQuarantine,
@@ -42,23 +45,23 @@
   { type: T }
 >;
 
-/** Most suspects in one message. */
-const MAX_VERDICTS = 1_024;
-/** When to come back to an owner that can keep no further suspect. */
-const FULL_RETRY_MS = 10_000;
-/** Time between two rounds of questions about old suspects. */
-const CHECK_MS = 3_000;
+const MAX_SUSPECTS_PER_MESSAGE = 1_024;
+/** Retry delay while the owner has no capacity for another suspect. */
+const LEDGER_FULL_RETRY_MS = 10_000;
+/** Interval at which owners are asked about remaining suspects. */
+const CHECK_INTERVAL_MS = 3_000;
+/** Prefix of the request ids of verdicts; the node id follows. */
 const VERDICT_PREFIX = `${QUARANTINE_PREFIX}verdict/`;
-/** Request ids of questions about old suspects begin with this. */
+/** Prefix of the request ids of checks of suspects; the address follows. */
 export const CHECK_PREFIX = `${QUARANTINE_PREFIX}check/`;
 
-/** Answers another node, or this one. */
+/** Replies to a quarantine message of another node, or of this one. */
 export function answerQuarantine(
   state: NodeState,
-  asked: { readonly askId: number; readonly message: QuarantineMessage },
+  request: { readonly askId: number; readonly message: QuarantineMessage },
   nowMs: number,
 ): Step {
-  const { askId, message } = asked;
+  const { askId, message } = request;
   if (message.type === "RequestRun") {
     return decideRun(state, askId, message, nowMs);
   }
@@ -66,57 +69,65 @@
     const { cleared } = state.quarantine;
     const reply = {
       type: "SuspectsChecked",
-      cleared: message.fingerprints.filter((one) => cleared.has(one)),
+      cleared: message.fingerprints.filter((fingerprint) =>
+        cleared.has(fingerprint)
+      ),
     } as const;
     return createReduction(state, [{ type: "AnswerPeer", askId, reply }]);
   }
-  const noted: NodeEffect = {
+  const acknowledgement: NodeEffect = {
     type: "AnswerPeer",
     askId,
     reply: { type: "SuspectsNoted" },
   };
   return chainReduction(
-    noteMessage(state, message, nowMs),
-    (next) => createReduction(next, [noted]),
+    applyMessage(state, message, nowMs),
+    (next) => createReduction(next, [acknowledgement]),
   );
 }
 
-/** Notes what ran when a backend server died, and judges what is owned here. */
-export function noteCrash(
+/**
+ * Records what ran when a backend server crashed, and applies it to the
+ * suspects that this node owns. A suspect that was cleared just before is
+ * recorded again only if it is guilty, as the report may be older than the
+ * verdict.
+ */
+export function recordCrash(
   state: NodeState,
   crash: Omit<Message<"TellSuspects">, "type">,
   nowMs: number,
 ): Step {
   const { nodeId, guilty } = crash;
   const { known, ledger, cleared } = state.quarantine;
-  const fingerprints = crash.fingerprints.filter((one) =>
-    guilty?.includes(one) === true || !isAcquitted(cleared, one, nowMs)
+  const fingerprints = crash.fingerprints.filter((fingerprint) =>
+    guilty?.includes(fingerprint) === true ||
+    !isAcquitted(cleared, fingerprint, nowMs)
   );
-  const noted = putQuarantine(state, {
+  const recorded = putQuarantine(state, {
     known: noteSuspects(known, fingerprints, nowMs),
   });
-  const room = MAX_KNOWN_SUSPECTS - ledger.suspects.size;
+  const freeCapacity = MAX_KNOWN_SUSPECTS - ledger.suspects.size;
   const added = fingerprints.filter((fingerprint) =>
     !ledger.suspects.has(fingerprint) &&
     findOwner(state, fingerprint)?.nodeId === state.self.nodeId
-  ).slice(0, Math.max(0, room));
+  ).slice(0, Math.max(0, freeCapacity));
   const owned = [
-    ...fingerprints.filter((one) => ledger.suspects.has(one)),
+    ...fingerprints.filter((fingerprint) => ledger.suspects.has(fingerprint)),
     ...added,
   ];
-  return owned.length === 0 ? createReduction(noted) : stepLedger(
-    noted,
+  return owned.length === 0 ? createReduction(recorded) : stepLedger(
+    recorded,
     { type: "BackendCrashed", nodeId, fingerprints: owned, guilty },
     nowMs,
   );
 }
 
 /**
- * Tells a node that joins the service of the suspects. It may be the owner of
- * some, and have lost them: of each one the node tells that owns it among the
- * others.
+ * Notifies a node that joins the service of its suspects, some of which it may
+ * own and have lost. Of the other nodes, the one that owns a suspect among them
+ * sends it.
  */
-export function tellJoined(
+export function notifyJoinedNode(
   state: NodeState,
   joined: Announcement,
   nowMs: number,
@@ -135,40 +146,42 @@
     .filter(([fingerprint]) =>
       chooseOwner(others, fingerprint)?.nodeId === state.self.nodeId
     )
-    .slice(-MAX_VERDICTS)
+    .slice(-MAX_SUSPECTS_PER_MESSAGE)
     .map(([fingerprint, { quarantinedUntilMs }]) => ({
       fingerprint,
       isCleared: false,
       quarantineMs: Math.max(0, quarantinedUntilMs - nowMs),
     }));
   return createReduction(state, [
-    createAsk(`${VERDICT_PREFIX}${nodeId}`, ingress, {
+    createPeerRequest(`${VERDICT_PREFIX}${nodeId}`, ingress, {
       type: "TellVerdicts",
       verdicts,
     }),
   ]);
 }
 
-/** Time has passed. */
+/** Expires suspects, and runs the periodic work of the ledger. */
 export function tickLedger(state: NodeState, nowMs: number): Step {
   const { known } = state.quarantine;
-  const live = expireSuspects(known, nowMs);
-  const next = live === known ? state : putQuarantine(state, { known: live });
+  const unexpired = expireSuspects(known, nowMs);
+  const next = unexpired === known
+    ? state
+    : putQuarantine(state, { known: unexpired });
   return chainReduction(
     stepLedger(next, { type: "Ticked" }, nowMs),
     (ticked) => checkSuspects(ticked, nowMs),
   );
 }
 
-/** Forgets the suspects that their owner says it has cleared. */
-export function takeChecked(
+/** Removes the suspects that their owner reports as cleared. */
+export function applyClearedSuspects(
   state: NodeState,
   cleared: readonly Fingerprint[],
   nowMs: number,
 ): NodeState {
   return cleared.reduce(
     (next, fingerprint) =>
-      noteDecision(
+      recordVerdict(
         next,
         { fingerprint, isCleared: true, quarantineMs: 0 },
         nowMs,
@@ -178,12 +191,13 @@
 }
 
 /**
- * Asks owners about suspects that stay: without it, a node that missed one
- * message refused that request beside any other suspect for two days.
+ * Asks owners about suspects that remain. Without this check, a node that
+ * missed the message that cleared a suspect would, for two days, refuse that
+ * request while any other suspect runs.
  */
 function checkSuspects(state: NodeState, nowMs: number): Step {
   const { known, checkedAtMs, ledger } = state.quarantine;
-  if (known.size === 0 || nowMs - checkedAtMs < CHECK_MS) {
+  if (known.size === 0 || nowMs - checkedAtMs < CHECK_INTERVAL_MS) {
     return createReduction(state);
   }
   const byOwner = new Map<string, Fingerprint[]>();
@@ -196,17 +210,17 @@
     byOwner.set(owner, fingerprints);
     fingerprints.push(fingerprint);
   }
-  const asks = [...byOwner].map(([owner, fingerprints]) =>
-    createAsk(`${CHECK_PREFIX}${owner}`, owner, {
+  const requests = [...byOwner].map(([owner, fingerprints]) =>
+    createPeerRequest(`${CHECK_PREFIX}${owner}`, owner, {
       type: "CheckSuspects",
-      fingerprints: fingerprints.slice(0, MAX_VERDICTS),
+      fingerprints: fingerprints.slice(0, MAX_SUSPECTS_PER_MESSAGE),
     })
   );
   const next = putQuarantine(state, { checkedAtMs: nowMs });
-  return createReduction(next, asks);
+  return createReduction(next, requests);
 }
 
-function noteMessage(
+function applyMessage(
   state: NodeState,
   message: Exclude<
     QuarantineMessage,
@@ -216,11 +230,11 @@
 ): Step {
   switch (message.type) {
     case "TellSuspects":
-      return noteCrash(state, message, nowMs);
+      return recordCrash(state, message, nowMs);
     case "TellVerdicts": {
       return createReduction(
         message.verdicts.reduce(
-          (before, verdict) => noteDecision(before, verdict, nowMs),
+          (before, verdict) => recordVerdict(before, verdict, nowMs),
           state,
         ),
       );
@@ -230,25 +244,28 @@
   }
 }
 
-/** Whoever asks knows a suspect; the owner before may have kept it. */
+/**
+ * Decides on a lease request. An unknown suspect is added, as a previous owner
+ * may have recorded it.
+ */
 function decideRun(
   state: NodeState,
   askId: number,
-  asked: Message<"RequestRun">,
+  request: Message<"RequestRun">,
   nowMs: number,
 ): Step {
-  const { fingerprint, nodeId, timeoutMs } = asked;
+  const { fingerprint, nodeId, timeoutMs } = request;
   const { suspects } = state.quarantine.ledger;
   const isKnown = suspects.has(fingerprint);
   if (!isKnown && suspects.size >= MAX_KNOWN_SUSPECTS) {
-    const retryAfterMs = FULL_RETRY_MS;
+    const retryAfterMs = LEDGER_FULL_RETRY_MS;
     const reply = { type: "RunRefused", reason: "suspect_runs" } as const;
     return createReduction(state, [
       { type: "AnswerPeer", askId, reply: { ...reply, retryAfterMs } },
     ]);
   }
   const fingerprints = isKnown ? [] : [fingerprint];
-  const noted = stepLedger(
+  const recorded = stepLedger(
     state,
     { type: "BackendCrashed", nodeId, fingerprints, guilty: [] },
     nowMs,
@@ -260,9 +277,10 @@
     fingerprint,
     timeoutMs,
   } as const;
-  return chainReduction(noted, (next) => stepLedger(next, event, nowMs));
+  return chainReduction(recorded, (next) => stepLedger(next, event, nowMs));
 }
 
+/** Ends a run: a complete one clears its suspect, another returns the lease. */
 function endRun(
   state: NodeState,
   ended: Message<"EndRun">,
@@ -275,6 +293,7 @@
   return stepLedger(state, event, nowMs);
 }
 
+/** Applies an event to the ledger, and carries out its decisions. */
 function stepLedger(
   state: NodeState,
   event: QuarantineEvent,
@@ -286,8 +305,8 @@
     ? state
     : putQuarantine(state, { ledger: step.state });
   return step.effects.reduce<Step>(
-    (done, effect) =>
-      chainReduction(done, (s) => applyDecision(s, effect, nowMs)),
+    (previous, effect) =>
+      chainReduction(previous, (s) => applyDecision(s, effect, nowMs)),
     createReduction(next),
   );
 }
@@ -309,12 +328,12 @@
       return createReduction(state, [{ type: "AnswerPeer", askId, reply }]);
     }
     case "PublishSuspect":
-      // The node beside the backend server has told all of them.
+      // The node of the crashed backend server has notified all others.
       return createReduction(state);
     case "PublishQuarantine": {
       const { fingerprint } = effect;
       const lengthMs = effect.untilMs - nowMs;
-      return tellVerdict(state, {
+      return publishVerdict(state, {
         fingerprint,
         isCleared: false,
         quarantineMs: lengthMs,
@@ -322,7 +341,7 @@
     }
     case "PublishCleared": {
       const { fingerprint } = effect;
-      return tellVerdict(state, {
+      return publishVerdict(state, {
         fingerprint,
         isCleared: true,
         quarantineMs: 0,
@@ -331,31 +350,32 @@
   }
 }
 
-function tellVerdict(
+/** Records a verdict of this node, and sends it to the others. */
+function publishVerdict(
   state: NodeState,
   verdict: Verdict,
   nowMs: number,
 ): Step {
   const { fingerprint, isCleared, quarantineMs } = verdict;
-  const told = { type: "TellVerdicts", verdicts: [verdict] } as const;
-  const tells = listPeers(state)
+  const message = { type: "TellVerdicts", verdicts: [verdict] } as const;
+  const notifications = listPeers(state)
     .filter(({ nodeId }) => nodeId !== state.self.nodeId)
     .map(({ nodeId, ingress }) =>
-      createAsk(`${VERDICT_PREFIX}${nodeId}`, ingress, told)
+      createPeerRequest(`${VERDICT_PREFIX}${nodeId}`, ingress, message)
     );
-  return createReduction(noteDecision(state, verdict, nowMs), [
+  return createReduction(recordVerdict(state, verdict, nowMs), [
     {
       type: "RecordEvent",
       event: isCleared
         ? { type: "SuspectCleared", fingerprint }
         : { type: "RequestQuarantined", fingerprint, lengthMs: quarantineMs },
     },
-    ...tells,
+    ...notifications,
   ]);
 }
 
-/** Notes what the owner decided, and when it cleared a suspect. */
-function noteDecision(
+/** Records the owner's verdict, and when it cleared a suspect. */
+function recordVerdict(
   state: NodeState,
   verdict: Verdict,
   nowMs: number,
--- a/src/engine/call/common/served_receive.ts
+++ b/src/engine/call/common/served_receive.ts
@@ -1,4 +1,4 @@
-/** Attempts that arrive for the local backend server. */
+/** Receives attempts for the local backend server and requests admission. */
 import { setEntry } from "../../../base/common/maps.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
 import { chainReduction } from "../../../base/common/reduction.ts";
@@ -14,7 +14,7 @@
 import type { NodeStep, ServedDeps } from "./served_types.ts";
 import { refuseServed, stepAdmission } from "./served_steps.ts";
 
-/** Takes a call from another node. */
+/** Receives an attempt from another node. */
 export function receiveIngress(
   state: NodeState,
   call: CallReceived,
@@ -23,19 +23,19 @@
   const { exchangeId } = call;
   const context = decodeContext(call.contextHeader ?? "");
   if (context.isErr()) {
-    return answerAtOnce(state, exchangeId, {
+    return answerImmediately(state, exchangeId, {
       status: 400,
       outcome: "not-run",
       message: `Context header is malformed: ${context.error.reason}`,
     });
   }
-  const refusal = findRepeat(state, context.value.attemptId);
+  const refusal = checkDuplicate(state, context.value.attemptId);
   if (refusal !== undefined) {
-    return answerAtOnce(state, exchangeId, refusal);
+    return answerImmediately(state, exchangeId, refusal);
   }
   const row = selectRow(state.table, call);
   if (row === undefined) {
-    return answerAtOnce(state, exchangeId, {
+    return answerImmediately(state, exchangeId, {
       status: 404,
       outcome: "not-run",
       message: `No kind of request matches ${call.method} ${call.path}`,
@@ -55,8 +55,11 @@
   }, deps);
 }
 
-/** Answers an attempt id that was here before: none runs twice. */
-function findRepeat(
+/**
+ * Returns an answer to an attempt whose id is known already, so that none runs
+ * twice; undefined for a new one.
+ */
+function checkDuplicate(
   state: NodeState,
   attemptId: string,
 ): OwnAnswer | undefined {
@@ -74,7 +77,7 @@
   };
 }
 
-/** Asks for admission of an attempt at the local backend server. */
+/** Requests admission of an attempt at the local backend server. */
 export function admitAttempt(
   state: NodeState,
   call: ServedCall,
@@ -82,9 +85,9 @@
 ): NodeStep {
   const { attemptId, context, row, deadlineMs } = call;
   const served = setEntry(state.served, attemptId, call);
-  const withCall = { ...state, served };
+  const registered = { ...state, served };
   if (state.self.isDraining) {
-    return refuseServed(withCall, attemptId, {
+    return refuseServed(registered, attemptId, {
       status: 503,
       outcome: "not-run",
       message: "Backend server is draining",
@@ -93,7 +96,7 @@
     }, deps);
   }
   const key: TimerKey = { owner: "served", id: attemptId };
-  const start = createReduction<NodeState, NodeEffect>(withCall, [
+  const start = createReduction<NodeState, NodeEffect>(registered, [
     { type: "StartTimer", key, atMs: deadlineMs },
   ]);
   const { importance, admissionHash, depth } = context;
@@ -111,7 +114,8 @@
   );
 }
 
-function answerAtOnce(
+/** Answers an exchange whose attempt was not accepted. */
+function answerImmediately(
   state: NodeState,
   exchangeId: string,
   answer: OwnAnswer,
--- a/src/engine/call/common/served_steps.ts
+++ b/src/engine/call/common/served_steps.ts
@@ -1,4 +1,4 @@
-/** Admits, sends, refuses and releases served attempts. */
+/** Served attempts: admits, sends, refuses and releases them. */
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
 import {
@@ -17,12 +17,12 @@
   checkKey,
   claimServed,
   endClaim,
+  HOLDERS_UNKNOWN,
   isClaiming,
   isClaimNeeded,
-  NO_HOLDERS,
-  withdrawServed,
+  withdrawServedClaim,
 } from "./claim_steps.ts";
-import { quoteLevel } from "./call_level.ts";
+import { computeReportedLevel } from "./call_level.ts";
 import { computeDownstreamMs } from "./downstream_time.ts";
 import type { TimerKey } from "./call_events.ts";
 import type { NodeState, ServedCall } from "./node_state.ts";
@@ -30,22 +30,24 @@
 import { MAX_STORED_BYTES } from "../../claims/common/claim_types.ts";
 import type { LocalResult, NodeStep, ServedDeps } from "./served_types.ts";
 
-/** Whether the backend server has seen nothing of an attempt yet. */
+/** Whether no byte of an attempt has been sent to the backend server yet. */
 export function isUnsent(state: NodeState, call: ServedCall): boolean {
   const { attemptId, phase } = call;
   return phase === "queued" || isClaiming(state, attemptId) ||
     isAwaitingLease(state, attemptId);
 }
 
+/** Whether the head of an attempt's answer has arrived. */
 export function isAnswered(call: ServedCall): boolean {
   return call.phase === "relaying" || call.phase === "blocked";
 }
 
-/** Time has passed: queued requests may have to go, or may run. */
-export function updateServed(state: NodeState, deps: ServedDeps): NodeStep {
+/** Advances admission with time: queued requests may run or be refused. */
+export function tickAdmission(state: NodeState, deps: ServedDeps): NodeStep {
   return stepAdmission(state, { type: "Ticked" }, deps);
 }
 
+/** Applies an event to admission, and carries out its decisions. */
 export function stepAdmission(
   state: NodeState,
   event: AdmissionEvent,
@@ -54,8 +56,8 @@
   const step = reduceAdmission(state.admission, event, deps.nowMs);
   const next = { ...state, admission: step.state };
   return step.effects.reduce<NodeStep>(
-    (done, effect) =>
-      chainReduction(done, (s) => applyAdmission(s, effect, deps)),
+    (previous, effect) =>
+      chainReduction(previous, (s) => applyAdmission(s, effect, deps)),
     createReduction(next),
   );
 }
@@ -79,6 +81,7 @@
   }
 }
 
+/** Runs an admitted attempt, after it has won its claim where it needs one. */
 function runServed(
   state: NodeState,
   attemptId: string,
@@ -94,11 +97,14 @@
   }
   return isClaimNeeded(call)
     ? claimServed(next, running) ??
-      refuseServed(next, attemptId, NO_HOLDERS, deps)
+      refuseServed(next, attemptId, HOLDERS_UNKNOWN, deps)
     : sendServed(next, attemptId, deps);
 }
 
-/** Hands an attempt to the local backend server. */
+/**
+ * Sends an attempt to the local backend server; one that is a suspect needs a
+ * lease first.
+ */
 export function sendServed(
   state: NodeState,
   attemptId: string,
@@ -112,12 +118,12 @@
   }
   if (suspect?.type === "Refused") {
     return chainReduction(
-      withdrawServed(state, attemptId),
+      withdrawServedClaim(state, attemptId),
       (next) => refuseServed(next, attemptId, suspect.answer, deps),
     );
   }
   const remainingMs = deadlineMs - deps.nowMs;
-  const collecting = isClaimNeeded(call)
+  const collection = isClaimNeeded(call)
     ? { collectBytes: MAX_STORED_BYTES }
     : {};
   return createReduction(state, [
@@ -133,12 +139,12 @@
       peer: "backend",
       context: { ...context, remainingMs, retryTokens: pool.left },
       maxBodyBytes: row.maxBodyBytes,
-      ...collecting,
+      ...collection,
     },
   ]);
 }
 
-/** Ends an attempt that did not run. */
+/** Ends an attempt that did not run, and records its refusal. */
 export function refuseServed(
   state: NodeState,
   attemptId: string,
@@ -160,7 +166,7 @@
   });
 }
 
-/** Ends an attempt with an answer of the node's own. */
+/** Ends an attempt with an answer that the node generates. */
 export function settleServed(
   state: NodeState,
   attemptId: string,
@@ -180,12 +186,13 @@
   const signals = {
     tokens: call.pool.left,
     isDraining: state.self.isDraining,
-    level: quoteLevel(step.state, call.row.kind, deps.nowMs),
+    level: computeReportedLevel(step.state, call.row.kind, deps.nowMs),
     load: state.loadHint,
   };
   return appendEffects(step, createAnswer(call.exchangeId, answer, signals));
 }
 
+/** Removes an attempt: frees its slot, ends its claim and cancels its calls. */
 export function releaseServed(
   state: NodeState,
   attemptId: string,
@@ -195,10 +202,10 @@
   const key: TimerKey = { owner: "served", id: attemptId };
   const served = deleteEntry(state.served, attemptId);
   const isQueued = call.phase === "queued";
-  const as = isUnsent(state, call) ? "refused" : "ended";
+  const settledAs = isUnsent(state, call) ? "refused" : "ended";
   const settled = rememberSettled(
     state.settled,
-    { attemptId, as },
+    { attemptId, as: settledAs },
     deps.nowMs,
   );
   const result = isAnswered(call) ? "answered" : "cancelled";
@@ -212,7 +219,7 @@
     };
   const released = { ...state, served, settled };
   const ended = isAwaitingLease(state, attemptId)
-    ? withdrawServed(released, attemptId)
+    ? withdrawServedClaim(released, attemptId)
     : endClaim(released, attemptId);
   const step = chainReduction(
     ended,
--- a/src/engine/call/common/table_intake.ts
+++ b/src/engine/call/common/table_intake.ts
@@ -1,25 +1,28 @@
-/** Which tables come into force at a node: upwards only, confirmed first. */
+/**
+ * Activation of tables at a node. Versions only increase, and the first table
+ * should be one that a quorum has confirmed.
+ */
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { Table } from "../../table/common/table_row.ts";
 import type { NodeEffect } from "./call_events.ts";
 import type { NodeState } from "./node_state.ts";
 import type { NodeStep } from "./served_types.ts";
 
-/** How long a starting node looks for a replica that is current. */
+/** Time that a starting node waits for a confirmed table. */
 export const CONFIRMED_WAIT_MS = 10_000;
 
 /** A table as a control replica sends it. */
 export interface ReceivedTable {
   readonly table: Table;
-  /** Whether a quorum vouched for it. */
+  /** Whether a quorum of replicas confirmed it. */
   readonly isConfirmed: boolean;
 }
 
 /**
- * A table takes effect only if it is newer than the one in force. A starting
- * node waits for a confirmed one first.
+ * Activates a table unless it is older than the one in force. A starting node
+ * keeps an unconfirmed table as a candidate.
  */
-export function takeTable(
+export function receiveTable(
   state: NodeState,
   received: ReceivedTable,
   nowMs: number,
@@ -30,35 +33,37 @@
   }
   const isStarting = state.table.version === 0 && table.version > 0;
   return isStarting && !isConfirmed
-    ? takeCandidate(keepCandidate(state, table, nowMs), nowMs)
-    : putInForce(state, received);
+    ? activateCandidate(updateCandidate(state, table, nowMs), nowMs)
+    : activateTable(state, received);
 }
 
-/** After a time without a confirmed table, takes the highest one found. */
-export function takeCandidate(state: NodeState, nowMs: number): NodeStep {
+/** Activates the candidate once `CONFIRMED_WAIT_MS` has passed. */
+export function activateCandidate(state: NodeState, nowMs: number): NodeStep {
   const { tableCandidate } = state;
   const isDue = tableCandidate !== undefined &&
     nowMs - tableCandidate.sinceMs >= CONFIRMED_WAIT_MS;
   return isDue
-    ? putInForce(state, { table: tableCandidate.table, isConfirmed: false })
+    ? activateTable(state, { table: tableCandidate.table, isConfirmed: false })
     : createReduction(state);
 }
 
-function keepCandidate(
+/** Keeps the candidate of the highest version; the wait goes on. */
+function updateCandidate(
   state: NodeState,
   table: Table,
   nowMs: number,
 ): NodeState {
-  const { tableCandidate: known } = state;
-  const isHigher = known === undefined || table.version > known.table.version;
+  const { tableCandidate: current } = state;
+  const isNewer = current === undefined ||
+    table.version > current.table.version;
   const tableCandidate = {
-    table: isHigher ? table : known.table,
-    sinceMs: known?.sinceMs ?? nowMs,
+    table: isNewer ? table : current.table,
+    sinceMs: current?.sinceMs ?? nowMs,
   };
   return { ...state, tableCandidate };
 }
 
-function putInForce(state: NodeState, received: ReceivedTable): NodeStep {
+function activateTable(state: NodeState, received: ReceivedTable): NodeStep {
   const { table, isConfirmed } = received;
   const { version } = table;
   const next: NodeState = {
