--- a/src/engine/mesh/common/body_parts.ts
+++ b/src/engine/mesh/common/body_parts.ts
@@ -11,8 +11,12 @@
 /** Lists the parts that follow the first one. */
 export function listFurtherParts(body: Uint8Array): readonly Uint8Array[] {
   const parts: Uint8Array[] = [];
-  for (let at = MAX_PART_BYTES; at < body.length; at += MAX_PART_BYTES) {
-    parts.push(body.subarray(at, at + MAX_PART_BYTES));
+  for (
+    let offset = MAX_PART_BYTES;
+    offset < body.length;
+    offset += MAX_PART_BYTES
+  ) {
+    parts.push(body.subarray(offset, offset + MAX_PART_BYTES));
   }
   return parts;
 }
@@ -29,7 +33,7 @@
   }
 
   /** Whether all bytes have come. */
-  get isWhole(): boolean {
+  get isComplete(): boolean {
     return this.#receivedBytes >= this.#totalBytes;
   }
 
--- a/src/engine/mesh/node/frame_writer.ts
+++ b/src/engine/mesh/node/frame_writer.ts
@@ -6,14 +6,14 @@
 
 const PACKR = new Packr({ useRecords: false });
 /** A message is closed at this size, so that none nears the largest taken. */
-const MESSAGE_BYTES = 1_048_576;
+const FLUSH_THRESHOLD_BYTES = 1_048_576;
 
 /** Collects frames until the turn ends: one system call for all of them. */
 export class FrameWriter {
   readonly #socket: WebSocket;
   readonly #readClock: () => number;
-  #frames: MeshFrame[] = [];
-  #bytes = 0;
+  #pendingFrames: MeshFrame[] = [];
+  #pendingBodyBytes = 0;
   #isScheduled = false;
 
   constructor(socket: WebSocket, readClock: () => number) {
@@ -23,14 +23,14 @@
 
   /** Bytes that the socket has not taken yet. */
   get bufferedBytes(): number {
-    return this.#socket.bufferedAmount + this.#bytes;
+    return this.#socket.bufferedAmount + this.#pendingBodyBytes;
   }
 
   /** Sends a frame with the others of this turn. */
   write(frame: MeshFrame): void {
-    this.#frames.push(frame);
-    this.#bytes += measureBody(frame);
-    if (this.#bytes >= MESSAGE_BYTES) {
+    this.#pendingFrames.push(frame);
+    this.#pendingBodyBytes += measureBodyBytes(frame);
+    if (this.#pendingBodyBytes >= FLUSH_THRESHOLD_BYTES) {
       this.#flush();
     } else if (!this.#isScheduled) {
       this.#isScheduled = true;
@@ -42,14 +42,16 @@
   }
 
   #flush(): void {
-    if (this.#frames.length === 0) {
+    if (this.#pendingFrames.length === 0) {
       return;
     }
     const sentAtMs = Math.floor(this.#readClock());
-    const lists = this.#frames.map((frame) => flattenFrame(frame, sentAtMs));
-    const bytes = PACKR.pack([sentAtMs, ...lists]);
-    this.#frames = [];
-    this.#bytes = 0;
+    const encodedFrames = this.#pendingFrames.map((frame) =>
+      flattenFrame(frame, sentAtMs)
+    );
+    const bytes = PACKR.pack([sentAtMs, ...encodedFrames]);
+    this.#pendingFrames = [];
+    this.#pendingBodyBytes = 0;
     if (this.#socket.readyState === this.#socket.OPEN) {
       this.#socket.send(bytes);
     }
@@ -57,27 +59,27 @@
 }
 
 /** Tells when a message arrived; its sender's clock counts from any time. */
-export type DateArrival = (sentAtMs: number) => number;
+export type ComputeArrivalMs = (sentAtMs: number) => number;
 
 /** Reads the frames of a message; undefined where the bytes are none. */
 export function decodeMessage(
   bytes: Uint8Array,
-  dateArrival: DateArrival,
+  computeArrivalMs: ComputeArrivalMs,
 ): readonly MeshFrame[] | undefined {
   try {
-    const [sentAtMs, ...lists] = PACKR.unpack(bytes) as readonly [
+    const [sentAtMs, ...encodedFrames] = PACKR.unpack(bytes) as readonly [
       number,
       ...(readonly unknown[])[],
     ];
-    const arrivedAtMs = dateArrival(sentAtMs);
-    return lists.map((fields) => parseFrame(fields, arrivedAtMs))
+    const arrivedAtMs = computeArrivalMs(sentAtMs);
+    return encodedFrames.map((fields) => parseFrame(fields, arrivedAtMs))
       .filter((frame) => frame !== undefined);
   } catch {
     return undefined;
   }
 }
 
-function measureBody(frame: MeshFrame): number {
+function measureBodyBytes(frame: MeshFrame): number {
   switch (frame.type) {
     case "CallOpened":
     case "AnswerOpened":
--- a/src/engine/mesh/node/mesh_client.ts
+++ b/src/engine/mesh/node/mesh_client.ts
@@ -17,16 +17,16 @@
   readonly socket: WebSocket;
   readonly writer: FrameWriter;
   /** Frames that wait for the link to open. */
-  waiting: MeshFrame[];
+  queuedFrames: MeshFrame[];
   wasOpen: boolean;
-  heardAtMs: number;
-  usedAtMs: number;
+  lastReceivedAtMs: number;
+  lastUsedAtMs: number;
 }
 
 /** Longest time that opening a link may take: some round trips and a loss. */
-const CONNECT_MS = 800;
+const CONNECT_TIMEOUT_MS = 800;
 /** A link that isn't used for so long is closed. */
-const IDLE_MS = 30_000;
+const IDLE_TIMEOUT_MS = 30_000;
 /** Largest message that is taken; above all that a writer makes. */
 export const MAX_MESSAGE_BYTES = 16_777_216;
 
@@ -42,11 +42,11 @@
   /** Sends a frame, on a new link where there is none. */
   send(address: string, frame: MeshFrame): void {
     const link = this.#links.get(address) ?? this.#connect(address);
-    link.usedAtMs = this.#options.readClock();
+    link.lastUsedAtMs = this.#options.readClock();
     if (link.socket.readyState === WebSocket.OPEN) {
       link.writer.write(frame);
     } else {
-      link.waiting.push(frame);
+      link.queuedFrames.push(frame);
     }
   }
 
@@ -60,7 +60,7 @@
     if (link?.socket.readyState === WebSocket.OPEN) {
       link.writer.write({ type: "CallCancelled", call });
     } else if (link !== undefined) {
-      link.waiting = link.waiting
+      link.queuedFrames = link.queuedFrames
         .filter((frame) => !("call" in frame) || frame.call !== call);
     }
   }
@@ -79,7 +79,7 @@
 
   /** When the other end was last heard; undefined without a link. */
   getHeardAtMs(address: string): number | undefined {
-    return this.#links.get(address)?.heardAtMs;
+    return this.#links.get(address)?.lastReceivedAtMs;
   }
 
   /** Gives a link up: the other end went silent. */
@@ -103,9 +103,9 @@
 
   /** Closes links that weren't used for long. */
   closeIdle(): void {
-    const oldestMs = this.#options.readClock() - IDLE_MS;
+    const idleSinceMs = this.#options.readClock() - IDLE_TIMEOUT_MS;
     for (const [address, link] of this.#links) {
-      if (link.usedAtMs < oldestMs) {
+      if (link.lastUsedAtMs < idleSinceMs) {
         this.#links.delete(address);
         link.socket.terminate();
       }
@@ -125,7 +125,7 @@
 
   #connect(address: string): MeshLink {
     const socket = new WebSocket(`ws://${address}/`, {
-      handshakeTimeout: CONNECT_MS,
+      handshakeTimeout: CONNECT_TIMEOUT_MS,
       perMessageDeflate: false,
       maxPayload: MAX_MESSAGE_BYTES,
       // The peers are ours: a mask of zeros saves a pass over every byte.
@@ -135,41 +135,44 @@
     const link: MeshLink = {
       socket,
       writer: new FrameWriter(socket, this.#options.readClock),
-      waiting: [],
+      queuedFrames: [],
       wasOpen: false,
-      heardAtMs: nowMs,
-      usedAtMs: nowMs,
+      lastReceivedAtMs: nowMs,
+      lastUsedAtMs: nowMs,
     };
     this.#links.set(address, link);
-    this.#watch(address, link);
+    this.#attachListeners(address, link);
     return link;
   }
 
-  #watch(address: string, link: MeshLink): void {
+  #attachListeners(address: string, link: MeshLink): void {
     const { socket, writer } = link;
     socket.on("open", () => {
-      link.heardAtMs = this.#options.readClock();
+      link.lastReceivedAtMs = this.#options.readClock();
       link.wasOpen = true;
       writer.write(this.#createIntroduction());
-      const { waiting } = link;
-      link.waiting = [];
-      waiting.forEach((frame) => writer.write(frame));
+      const { queuedFrames: queued } = link;
+      link.queuedFrames = [];
+      queued.forEach((frame) => writer.write(frame));
     });
     socket.on("message", (data: Buffer) => {
       const nowMs = this.#options.readClock();
-      link.heardAtMs = nowMs;
+      link.lastReceivedAtMs = nowMs;
       const frames = decodeMessage(data, () => nowMs);
       if (frames === undefined) {
-        this.#lose(address, link, "unreadable message");
+        this.#handleLoss(address, link, "unreadable message");
         return;
       }
       frames.forEach((frame) => this.#options.onFrame(address, frame));
     });
-    socket.on("error", (error) => this.#lose(address, link, error.message));
-    socket.on("close", () => this.#lose(address, link, "closed"));
+    socket.on(
+      "error",
+      (error) => this.#handleLoss(address, link, error.message),
+    );
+    socket.on("close", () => this.#handleLoss(address, link, "closed"));
   }
 
-  #lose(address: string, link: MeshLink, reason: string): void {
+  #handleLoss(address: string, link: MeshLink, reason: string): void {
     link.socket.terminate();
     if (this.#links.get(address) === link) {
       this.#links.delete(address);
--- a/src/engine/mesh/node/mesh_server.ts
+++ b/src/engine/mesh/node/mesh_server.ts
@@ -33,11 +33,11 @@
 interface AcceptedLink {
   readonly socket: WebSocket;
   readonly writer: FrameWriter;
-  readonly delay: TransitDelay;
+  readonly transitDelay: TransitDelay;
   /** Whether it was heard since the last report. */
-  isActive: boolean;
+  hasReceived: boolean;
   /** Whether an answer, which has the load too, was sent since then. */
-  hasAnswered: boolean;
+  hasSentLoad: boolean;
 }
 
 /** A link whose peer takes nothing is closed beyond this many bytes. */
@@ -72,32 +72,32 @@
 
   /** Sends a frame; a closed link is passed over, a clogged one closed. */
   send(link: number, frame: MeshFrame): void {
-    const found = this.#links.get(link);
-    if (found === undefined) {
+    const accepted = this.#links.get(link);
+    if (accepted === undefined) {
       return;
     }
-    if (found.writer.bufferedBytes > MAX_BUFFERED_BYTES) {
-      found.socket.terminate();
+    if (accepted.writer.bufferedBytes > MAX_BUFFERED_BYTES) {
+      accepted.socket.terminate();
       return;
     }
-    found.hasAnswered = true;
-    found.writer.write(frame);
+    accepted.hasSentLoad = true;
+    accepted.writer.write(frame);
   }
 
   /** Says the load on links in use that have not heard it otherwise. */
   report(): void {
     const report = this.#options.createReport();
-    const hasMore = (report.below?.length ?? 0) > 0 ||
+    const hasReports = (report.below?.length ?? 0) > 0 ||
       report.callers.length > 0;
     for (const [number, link] of this.#links) {
-      const isUsed = link.isActive || this.#options.hasCalls(number);
+      const isInUse = link.hasReceived || this.#options.hasCalls(number);
       // The answers of a busy link say the load: a report would wake both ends
       // for nothing, ten times a second and link.
-      if (isUsed && (hasMore || !link.hasAnswered)) {
+      if (isInUse && (hasReports || !link.hasSentLoad)) {
         link.writer.write(report);
       }
-      link.isActive = false;
-      link.hasAnswered = false;
+      link.hasReceived = false;
+      link.hasSentLoad = false;
     }
   }
 
@@ -116,17 +116,17 @@
     const link = {
       socket,
       writer: new FrameWriter(socket, this.#options.readClock),
-      delay: new TransitDelay(),
-      isActive: true,
-      hasAnswered: false,
+      transitDelay: new TransitDelay(),
+      hasReceived: true,
+      hasSentLoad: false,
     };
     this.#links.set(number, link);
     socket.on("message", (data: Buffer) => {
-      link.isActive = true;
+      link.hasReceived = true;
       const nowMs = this.#options.readClock();
       let delayMs = 0;
       const frames = decodeMessage(data, (sentAtMs) => {
-        delayMs = link.delay.measure(sentAtMs, nowMs);
+        delayMs = link.transitDelay.measure(sentAtMs, nowMs);
         return nowMs - delayMs;
       });
       if (frames === undefined) {
--- a/src/engine/relay/node/backend_client.ts
+++ b/src/engine/relay/node/backend_client.ts
@@ -1,4 +1,4 @@
-/** Sends calls to the local backend server, and reads its answers whole. */
+/** Sends calls to the local backend server and reads complete answers. */
 import type { IncomingHttpHeaders } from "node:http";
 import type { Socket } from "node:net";
 import { buildConnector, Client, Pool } from "undici";
@@ -6,60 +6,74 @@
 import type { HeaderList } from "../../mesh/common/frames.ts";
 import type { BackendExchange } from "../common/gate_call_index.ts";
 
-/** One request to the backend server. */
+/** A request to the backend server. */
 export interface BackendRequest {
   readonly method: string;
+  /** Path and query. */
   readonly target: string;
   readonly headers: HeaderList;
+  /** The complete body; empty for none. */
   readonly body: Uint8Array;
 }
 
-/** The head of an answer. */
+/** Status and headers of an answer. */
 export interface BackendHead {
   readonly status: number;
+  /** Headers by their names in lower case. */
   readonly headers: IncomingHttpHeaders;
+  /** Names and values alternately, as received. */
   readonly rawHeaders: readonly string[];
 }
 
-/** How a request ended. */
+/** The outcome of a request. */
 export type BackendResult =
+  /** A complete answer. */
   | {
     readonly type: "Whole";
     readonly head: BackendHead;
     readonly body: Uint8Array;
   }
-  /** `checkStart` said so: nothing was sent. */
+  /** `checkStart` gave a reason not to send: no byte was sent. */
   | { readonly type: "Withheld"; readonly reason: string }
-  /** The connection could not be made: nothing was sent. */
+  /** No connection could be opened: no byte was sent. */
   | { readonly type: "NotSent"; readonly reason: string }
-  /** The answer was cut, refused by `acceptHead`, or never came. */
+  /** The answer was truncated, rejected by `checkHead`, or never arrived. */
   | { readonly type: "Broken"; readonly reason: string };
 
-/** What a request is sent with. */
-export interface BackendSend {
+/** A request to send, its checks, and the callback for its outcome. */
+export interface BackendSendOptions {
   readonly request: BackendRequest;
   /**
-   * Says why the request is not sent after all; undefined to send it. Asked
-   * right before its first byte, as it may have waited for a connection.
+   * Returns the reason not to send the request, or undefined to send it.
+   * Called right before the first byte is written, because the request may
+   * have waited for a free connection.
    */
   readonly checkStart: () => string | undefined;
-  /** Says why an answer with this head is not read; undefined to read it. */
+  /** Returns the reason not to read the answer, or undefined to read it. */
   readonly checkHead: (head: BackendHead) => string | undefined;
+  /** Called once, unless the exchange is aborted. */
   readonly onEnd: (result: BackendResult) => void;
 }
 
-/** Idle connections are kept for so long where the server doesn't say. */
-const IDLE_MS = 4_000;
-/** Longest that a server may have them kept, by its `Keep-Alive`. */
-const MAX_IDLE_MS = 60_000;
-/** Closed so long before the server would: a request must not cross that. */
-const IDLE_MARGIN_MS = 1_000;
-const CONNECT_MS = 1_000;
-/** Larger answers are not held; the call fails. */
+/** Keep-alive time of idle connections if the server doesn't state one. */
+const DEFAULT_KEEP_ALIVE_MS = 4_000;
+/** Upper limit of the time that a `Keep-Alive` header may ask for. */
+const MAX_KEEP_ALIVE_MS = 60_000;
+/**
+ * Connections are closed this long before the server would close them, so that
+ * no request is sent while the server closes.
+ */
+const KEEP_ALIVE_MARGIN_MS = 1_000;
+const CONNECT_TIMEOUT_MS = 1_000;
+/** Calls with a larger answer fail, to bound memory. */
 const MAX_ANSWER_BYTES = 16_777_216;
 
-const CUT: BackendResult = { type: "Broken", reason: "the answer was cut" };
+const TRUNCATED_ANSWER: BackendResult = {
+  type: "Broken",
+  reason: "the answer was cut",
+};
 
+/** Error codes that prove that no connection was opened. */
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   "ECONNREFUSED",
   "UND_ERR_CONNECT_TIMEOUT",
@@ -67,8 +81,9 @@
   "ENETUNREACH",
 ]);
 
-/** Keeps connections to one address. */
+/** Pools the connections to the backend server at one address. */
 export class BackendClient implements AsyncDisposable {
+  /** Host and port. */
   readonly address: string;
   readonly #pool: Pool;
 
@@ -79,26 +94,26 @@
       pipelining: 1,
       headersTimeout: 0,
       bodyTimeout: 0,
-      factory: (origin, options) => new WatchedClient(origin, options),
-      keepAliveTimeout: IDLE_MS,
-      keepAliveMaxTimeout: MAX_IDLE_MS,
-      keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
+      factory: (origin, options) => new EndTrackingClient(origin, options),
+      keepAliveTimeout: DEFAULT_KEEP_ALIVE_MS,
+      keepAliveMaxTimeout: MAX_KEEP_ALIVE_MS,
+      keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
       maxResponseSize: MAX_ANSWER_BYTES,
     });
   }
 
-  /** Sends a request, once a connection is free. */
-  send(send: BackendSend): BackendExchange {
-    const handler = new AnswerHandler(send);
-    const { method, target, headers, body } = send.request;
-    const options: CollectedOptions = {
-      collector: handler,
+  /** Sends a request as soon as a connection is free. */
+  send(options: BackendSendOptions): BackendExchange {
+    const handler = new AnswerHandler(options);
+    const { method, target, headers, body } = options.request;
+    const dispatchOptions: AnswerDispatchOptions = {
+      answerHandler: handler,
       method: method as Dispatcher.HttpMethod,
       path: target,
       headers: headers as string[],
       body: body.length === 0 && !hasBody(method) ? null : body,
     };
-    this.#pool.dispatch(options, handler);
+    this.#pool.dispatch(dispatchOptions, handler);
     return handler;
   }
 
@@ -111,26 +126,30 @@
   return method === "POST" || method === "PUT" || method === "PATCH";
 }
 
-/** The pool wraps handlers; the one that collects is found by the options. */
-interface CollectedOptions extends Dispatcher.DispatchOptions {
-  readonly collector?: AnswerHandler;
+/**
+ * Dispatch options that carry the answer handler: the pool wraps handlers, so a
+ * client can't get at it by its own handler argument.
+ */
+interface AnswerDispatchOptions extends Dispatcher.DispatchOptions {
+  readonly answerHandler?: AnswerHandler;
 }
 
-/** How a connection ended, if it did. */
-interface ConnectionEnd {
-  /** The other end finished in good order. */
-  isFinished: boolean;
-  /** It was reset, or failed otherwise. */
-  isBroken: boolean;
+/** What has been observed of the end of a connection. */
+interface ConnectionEndState {
+  /** Whether the server's orderly end (FIN) was read. */
+  isEndReceived: boolean;
+  /** Whether the connection was reset or failed otherwise. */
+  isFailed: boolean;
+  /** Undefined before the connection is open. */
   socket: Socket | undefined;
 }
 
 /**
- * Asks the kernel whether a connection whose end was read was in truth reset:
- * a reset right behind the last bytes reaches Node as an orderly end (libuv
- * takes a hang-up after a short read for one). A write to a connection that was
- * reset fails; to one that ended it doesn't. Servers pass over the empty line
- * (RFC 9112, 2.2).
+ * Returns whether a connection whose end was read was in fact reset. A reset
+ * right after the last bytes reaches Node as an orderly end, because libuv
+ * treats a hang-up after a short read as one. A write fails if the connection
+ * was reset, and succeeds if it was closed in order. Servers ignore the empty
+ * line that is written (RFC 9112, 2.2).
  */
 function probeReset(socket: Socket): Promise<boolean> {
   return new Promise((resolve) => {
@@ -141,71 +160,74 @@
 }
 
 /**
- * One connection whose end is seen before undici sees it. Undici takes an
- * answer with `Connection: close` for whole when its connection is reset, or
- * ends amid its chunks; such an answer must fail.
+ * A connection whose end is observed before undici handles it. Undici reports
+ * an answer with `Connection: close` as complete if the connection is reset or
+ * ends between its chunks; such an answer must fail instead.
  */
-class WatchedClient extends Client {
-  readonly #end: ConnectionEnd;
+class EndTrackingClient extends Client {
+  readonly #connectionEnd: ConnectionEndState;
 
   constructor(origin: string | URL, options: object) {
-    const end = createConnectionEnd();
-    const connect = buildConnector({ timeout: CONNECT_MS });
+    const connectionEnd = createConnectionEndState();
+    const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
     super(origin, {
       ...options,
       connect: (target, callback) => {
         connect(target, (...result) => {
           const [error, socket] = result;
           if (error === null) {
-            watchEnd(socket, end);
+            trackConnectionEnd(socket, connectionEnd);
           }
           callback(...result);
         });
       },
     });
-    this.#end = end;
+    this.#connectionEnd = connectionEnd;
   }
 
   override dispatch(
     options: Dispatcher.DispatchOptions,
     handler: Dispatcher.DispatchHandler,
   ): boolean {
-    const { collector } = options as CollectedOptions;
-    if (collector !== undefined) {
-      collector.connection = this.#end;
+    const { answerHandler } = options as AnswerDispatchOptions;
+    if (answerHandler !== undefined) {
+      answerHandler.connectionEnd = this.#connectionEnd;
     }
     return super.dispatch(options, handler);
   }
 }
 
-function createConnectionEnd(): ConnectionEnd {
-  return { isFinished: false, isBroken: false, socket: undefined };
+function createConnectionEndState(): ConnectionEndState {
+  return { isEndReceived: false, isFailed: false, socket: undefined };
 }
 
-/** Listeners that are added first are called first. */
-function watchEnd(socket: Socket, end: ConnectionEnd): void {
-  Object.assign(end, createConnectionEnd(), { socket });
+/**
+ * Records the end of a connection. Called before undici adds its own listeners,
+ * so that these run first.
+ */
+function trackConnectionEnd(socket: Socket, state: ConnectionEndState): void {
+  Object.assign(state, createConnectionEndState(), { socket });
   socket.on("end", () => {
-    end.isFinished = true;
+    state.isEndReceived = true;
   });
   socket.on("error", () => {
-    end.isBroken = true;
+    state.isFailed = true;
   });
 }
 
-/** Collects one answer. */
+/** Reads one answer, and reports the outcome once. */
 class AnswerHandler implements Dispatcher.DispatchHandler, BackendExchange {
-  connection = createConnectionEnd();
-  readonly #send: BackendSend;
+  connectionEnd = createConnectionEndState();
+  readonly #options: BackendSendOptions;
   readonly #chunks: Uint8Array[] = [];
   #controller: Dispatcher.DispatchController | undefined;
   #head: BackendHead | undefined;
-  #isEnded = false;
+  #isSettled = false;
   #isAborted = false;
   #hasBegun = false;
 
-  constructor(send: BackendSend) {
-    this.#send = send;
+  constructor(options: BackendSendOptions) {
+    this.#options = options;
   }
 
   get hasBegun(): boolean {
@@ -214,17 +236,21 @@
 
   breakOff(): void {
     this.#isAborted = true;
-    this.#isEnded = true;
-    this.#controller?.abort(new Error("Broken off"));
+    this.#isSettled = true;
+    this.#controller?.abort(
+      new Error("Exchange with the backend server aborted"),
+    );
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.#controller = controller;
-    const reason = this.#isAborted ? "Broken off" : this.#send.checkStart();
+    const reason = this.#isAborted
+      ? "exchange aborted before it was sent"
+      : this.#options.checkStart();
     if (reason === undefined) {
       this.#hasBegun = true;
     } else {
-      this.#end({ type: "Withheld", reason });
+      this.#settle({ type: "Withheld", reason });
       controller.abort(new Error(reason));
     }
   }
@@ -239,7 +265,7 @@
     }
     const rawHeaders = readRawHeaders(controller);
     this.#head = { status, headers, rawHeaders };
-    const reason = this.#send.checkHead(this.#head);
+    const reason = this.#options.checkHead(this.#head);
     if (reason !== undefined) {
       controller.abort(new Error(reason));
     }
@@ -257,14 +283,16 @@
       ? this.#chunks[0]!
       : Buffer.concat(this.#chunks);
     const head = this.#head!;
-    const { isBroken, isFinished, socket } = this.connection;
-    const whole = { type: "Whole", head, body } as const;
-    if (isBroken || (isFinished && isChunked(head))) {
-      this.#end(CUT);
-    } else if (isFinished && !hasLength(head) && socket !== undefined) {
-      probeReset(socket).then((isReset) => this.#end(isReset ? CUT : whole));
+    const { isFailed, isEndReceived, socket } = this.connectionEnd;
+    const wholeAnswer = { type: "Whole", head, body } as const;
+    if (isFailed || (isEndReceived && isChunked(head))) {
+      this.#settle(TRUNCATED_ANSWER);
+    } else if (isEndReceived && !hasLength(head) && socket !== undefined) {
+      probeReset(socket).then((isReset) =>
+        this.#settle(isReset ? TRUNCATED_ANSWER : wholeAnswer)
+      );
     } else {
-      this.#end(whole);
+      this.#settle(wholeAnswer);
     }
   }
 
@@ -275,13 +303,13 @@
     const code = (error as NodeJS.ErrnoException).code ?? "";
     const reason = code === "" ? error.message : code;
     const type = NOT_SENT_CODES.has(code) ? "NotSent" : "Broken";
-    this.#end({ type, reason });
+    this.#settle({ type, reason });
   }
 
-  #end(result: BackendResult): void {
-    if (!this.#isEnded) {
-      this.#isEnded = true;
-      this.#send.onEnd(result);
+  #settle(result: BackendResult): void {
+    if (!this.#isSettled) {
+      this.#isSettled = true;
+      this.#options.onEnd(result);
     }
   }
 }
@@ -290,12 +318,12 @@
   return headers["content-length"] !== undefined;
 }
 
-/** A chunked answer says itself where it ends. */
+/** Whether the last chunk, rather than the connection's end, ends the body. */
 function isChunked({ headers }: BackendHead): boolean {
   return headers["transfer-encoding"] !== undefined;
 }
 
-/** Names and values as they stood on the wire, in Latin-1. */
+/** Returns names and values as received, decoded as Latin-1. */
 function readRawHeaders(
   controller: Dispatcher.DispatchController,
 ): readonly string[] {
--- a/src/engine/relay/node/body_reader.ts
+++ b/src/engine/relay/node/body_reader.ts
@@ -1,29 +1,30 @@
-/** Reads a request's body whole, within bounds. */
+/** Reads the complete body of a request, within limits on its size. */
 import type { IncomingMessage } from "node:http";
 
-/** What came of it. */
-export type BodyRead =
+/** The outcome of reading a body. */
+export type BodyReadResult =
   | { readonly type: "Whole"; readonly body: Uint8Array }
+  /** The body is larger than `maxBytes`. */
   | { readonly type: "TooLarge" }
-  /** This process holds as much as it may. */
+  /** The memory for request bodies in this process is used up. */
   | { readonly type: "NoRoom" }
-  /** The caller left before the end. */
+  /** The connection ended before the body was complete. */
   | { readonly type: "Broken" };
 
-/** Bounds of a body. */
-export interface BodyBounds {
+/** Limits on a body. */
+export interface BodyLimits {
   readonly maxBytes: number;
-  /** Counts further bytes of the body as held; false where none are left. */
-  readonly hold: (bytes: number) => boolean;
+  /** Reserves memory for more bytes of the body; false if there is none left. */
+  readonly reserve: (bytes: number) => boolean;
 }
 
 const EMPTY = new Uint8Array();
 
-/** Reads to the end of the body, or until a bound is passed. */
+/** Reads to the end of the body, or until it exceeds a limit. */
 export function readBody(
   request: IncomingMessage,
-  bounds: BodyBounds,
-): Promise<BodyRead> {
+  limits: BodyLimits,
+): Promise<BodyReadResult> {
   const { headers } = request;
   const isEmpty = headers["content-length"] === undefined &&
     headers["transfer-encoding"] === undefined;
@@ -32,23 +33,23 @@
   }
   return new Promise((resolve) => {
     const chunks: Uint8Array[] = [];
-    let total = 0;
-    const stop = (read: BodyRead) => {
-      request.off("data", take);
+    let totalBytes = 0;
+    const stop = (result: BodyReadResult) => {
+      request.off("data", addChunk);
       request.resume();
-      resolve(read);
+      resolve(result);
     };
-    const take = (chunk: Uint8Array) => {
-      total += chunk.length;
-      if (total > bounds.maxBytes) {
+    const addChunk = (chunk: Uint8Array) => {
+      totalBytes += chunk.length;
+      if (totalBytes > limits.maxBytes) {
         stop({ type: "TooLarge" });
-      } else if (!bounds.hold(chunk.length)) {
+      } else if (!limits.reserve(chunk.length)) {
         stop({ type: "NoRoom" });
       } else {
         chunks.push(chunk);
       }
     };
-    request.on("data", take);
+    request.on("data", addChunk);
     request.on("end", () => {
       const body = chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
       resolve({ type: "Whole", body });
--- a/src/engine/relay/node/caller_answers.ts
+++ b/src/engine/relay/node/caller_answers.ts
@@ -1,39 +1,41 @@
-/** Writes answers to callers on this VM. */
+/** Writes answers to the callers on this VM. */
 import type { ServerResponse } from "node:http";
 import type { HeaderList } from "../../mesh/common/frames.ts";
 import type { EntryFailure } from "../common/entry_types.ts";
 
-/** An answer as it goes on the wire. */
+/** An answer as it is sent to a caller. */
 export interface CallerAnswer {
+  /** HTTP status. */
   readonly status: number;
+  /** Without `Content-Length` and `Connection`, which `writeAnswer` adds. */
   readonly headers: HeaderList;
   readonly body: Uint8Array;
-  /** Whether the connection ends with this answer. */
+  /** Whether the node closes the connection after this answer. */
   readonly isLast: boolean;
 }
 
-/** A caller honours a wait of at most this part of the time it has left. */
-const RETRY_PART = 3;
-/** A wait is spread by half of itself: callers come back apart. */
-const RETRY_SPREAD = 0.5;
+/** `Retry-After` is at most the caller's remaining time divided by this. */
+const RETRY_WAIT_DIVISOR = 3;
+/** Width of the jitter, as a ratio of the wait: callers retry at different times. */
+const RETRY_JITTER_RATIO = 0.5;
 /**
- * Bodies up to this length go as Latin-1 text, which holds all bytes as they
- * are: Node writes such a body and its head in one piece, and any other one as
- * a list of pieces.
+ * Bodies up to this length are written as Latin-1 strings, which keep every
+ * byte: Node sends a string together with the head in one write, but a buffer
+ * as a list of separate pieces.
  */
-const MAX_TEXT_BYTES = 16_384;
+const MAX_LATIN1_BODY_BYTES = 16_384;
 
-/** Writes an answer whole; its length is always said. */
+/** Writes a complete answer, always with a `Content-Length`. */
 export function writeAnswer(
   response: ServerResponse,
   { status, headers, body, isLast }: CallerAnswer,
 ): void {
-  const own = [...headers, "Content-Length", String(body.length)];
+  const allHeaders = [...headers, "Content-Length", String(body.length)];
   if (isLast) {
-    own.push("Connection", "close");
+    allHeaders.push("Connection", "close");
   }
-  response.writeHead(status, own);
-  if (body.length <= MAX_TEXT_BYTES) {
+  response.writeHead(status, allHeaders);
+  if (body.length <= MAX_LATIN1_BODY_BYTES) {
     const { buffer, byteOffset, length } = body;
     const bytes = Buffer.from(buffer, byteOffset, length);
     response.end(bytes.toString("latin1"), "latin1");
@@ -42,22 +44,26 @@
   }
 }
 
-/** Creates the header that says when to come back, in seconds. */
-export function createRetryHeaders(retryAfterMs: number): HeaderList {
+/** Creates the `Retry-After` header, in seconds with three decimals. */
+export function createRetryAfterHeaders(retryAfterMs: number): HeaderList {
   return ["Retry-After", (retryAfterMs / 1_000).toFixed(3)];
 }
 
-/** Callers that were refused together come back apart, while they wait. */
-export function spreadRetry(
+/**
+ * Computes how long a refused caller shall wait, in milliseconds: with jitter,
+ * so that callers refused together don't retry together, and short enough that
+ * the caller is still waiting. `draw` is random, from 0 to 1.
+ */
+export function computeRetryWaitMs(
   retryAfterMs: number,
   terms: { readonly timeLeftMs: number; readonly draw: number },
 ): number {
-  const mostMs = Math.max(0, terms.timeLeftMs / RETRY_PART);
-  const part = 1 - RETRY_SPREAD / 2 + terms.draw * RETRY_SPREAD;
-  return Math.min(retryAfterMs * part, mostMs);
+  const maxMs = Math.max(0, terms.timeLeftMs / RETRY_WAIT_DIVISOR);
+  const factor = 1 - RETRY_JITTER_RATIO / 2 + terms.draw * RETRY_JITTER_RATIO;
+  return Math.min(retryAfterMs * factor, maxMs);
 }
 
-/** Gets the status of a call that has no answer of a backend server. */
+/** Returns the HTTP status of a call that no backend server answered. */
 export function getStatus(failure: EntryFailure): number {
   switch (failure.type) {
     case "Refused":
--- a/src/engine/relay/node/caller_connection.ts
+++ b/src/engine/relay/node/caller_connection.ts
@@ -1,79 +1,85 @@
-/** One connection of a caller, with the requests that came on it. */
+/** A caller's connection with the requests received on it. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import type { FirstRequestQueue } from "../../../base/common/first_requests.ts";
 import { Pipeline } from "../common/pipeline.ts";
 
-/** A request and its answer. */
+/** A request with its response. */
 export interface Exchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
+  /** When its head was read, by the steady clock. */
   readonly arrivedAtMs: number;
-  /** Longest time that its connection can have waited to be accepted. */
+  /**
+   * Longest time that its connection can have waited to be accepted, in
+   * milliseconds; 0 for all but the first requests of a connection.
+   */
   readonly queuedMs: number;
-  /** Run once the answer has left, or can't be sent any more. */
+  /** Called once the answer has been sent, or can't be sent any more. */
   readonly cleanUps: (() => void)[];
-  /** Whether the clean-ups were run. */
-  isGone: boolean;
+  /** Whether the clean-ups have been called. */
+  isEnded: boolean;
 }
 
-/** What a connection is built from. */
+/** What a connection depends on. */
 export interface CallerConnectionOptions {
-  /** Begins with an exchange. */
+  /** Starts to process an exchange. */
   readonly start: (exchange: Exchange) => void;
   readonly firstRequests: FirstRequestQueue;
 }
 
-/** Starts the exchanges of one connection, and withdraws them. */
+/** Starts the exchanges of a connection in order, and ends them with it. */
 export class CallerConnection {
   readonly #socket: Socket;
   readonly #options: CallerConnectionOptions;
   readonly #pipeline = new Pipeline<Exchange>();
-  #isRead = false;
+  #hasReadBacklog = false;
 
   constructor(socket: Socket, options: CallerConnectionOptions) {
     this.#socket = socket;
     this.#options = options;
-    // A response that waits for its turn is told nothing of its connection. The
-    // end is read a turn or two before the close, and Node's listener ends the
-    // other way at once: nobody can be answered any more.
-    const loseAll = () => this.#lose(this.#pipeline.closeAll());
-    socket.on("end", loseAll);
-    socket.on("close", loseAll);
+    // A response queued behind others emits no event when its connection closes.
+    // The caller's end is read one or two turns of the event loop before the
+    // close, and Node then ends the other direction at once, so that no answer
+    // can be sent any more.
+    const cleanUpAll = () => this.#cleanUp(this.#pipeline.closeAll());
+    socket.on("end", cleanUpAll);
+    socket.on("close", cleanUpAll);
   }
 
-  /** Whether what lay unread when it was accepted has been read. */
-  get isRead(): boolean {
-    return this.#isRead;
+  /** Whether all bytes that were unread when it was accepted have been read. */
+  get hasReadBacklog(): boolean {
+    return this.#hasReadBacklog;
   }
 
-  /** Whether all that came has been answered. */
+  /** Whether every request received has been answered. */
   get isIdle(): boolean {
     return this.#pipeline.size === 0;
   }
 
-  /** Whether what comes now counts as not read. */
+  /** Whether further requests are ignored; their caller knows them as unread. */
   get isClosing(): boolean {
     return this.#pipeline.isClosing;
   }
 
   /**
-   * A connection may have waited to be accepted for longer than its caller
-   * did, and its close is read after its first request.
+   * Calls `run` once the bytes that were unread at acceptance have been read.
+   * The caller may have left while its connection waited to be accepted, and
+   * the close is read only after the first request.
    */
-  runOnceRead(run: () => void): void {
-    if (this.#isRead) {
+  runAfterBacklogRead(run: () => void): void {
+    if (this.#hasReadBacklog) {
       run();
       return;
     }
     this.#options.firstRequests.hold(() => {
-      this.#isRead = true;
+      this.#hasReadBacklog = true;
       run();
     });
   }
 
-  /** Takes a request; one behind an answer that closes is passed over. */
-  take(exchange: Exchange): void {
+  /** Adds a request; ignored if an earlier answer closes the connection. */
+  receive(exchange: Exchange): void {
     const { response } = exchange;
     const next = this.#pipeline.add(exchange);
     if (!response.shouldKeepAlive) {
@@ -87,8 +93,9 @@
   }
 
   /**
-   * Whether the answer to an exchange may close the connection: an answer
-   * before others that run would cut them.
+   * Returns whether the answer to an exchange may close the connection, and if
+   * so accepts no more requests. An answer ahead of other exchanges may not: it
+   * would cut these off.
    */
   closeIfLast(exchange: Exchange): boolean {
     const isLast = this.#pipeline.isLast(exchange);
@@ -98,15 +105,15 @@
     return isLast;
   }
 
-  /** Takes nothing more, and closes once all has been answered. */
-  stopTaking(): void {
+  /** Accepts no more requests, and closes once all have been answered. */
+  closeWhenIdle(): void {
     this.#pipeline.stopTaking();
     this.#endIfIdle();
   }
 
   #end(exchange: Exchange): void {
     const next = this.#pipeline.end(exchange);
-    this.#lose([exchange]);
+    this.#cleanUp([exchange]);
     if (this.#socket.destroyed) {
       return;
     }
@@ -127,10 +134,10 @@
     exchanges.forEach((exchange) => this.#options.start(exchange));
   }
 
-  #lose(exchanges: readonly Exchange[]): void {
+  #cleanUp(exchanges: readonly Exchange[]): void {
     for (const exchange of exchanges) {
-      if (!exchange.isGone) {
-        exchange.isGone = true;
+      if (!exchange.isEnded) {
+        exchange.isEnded = true;
         exchange.cleanUps.forEach((cleanUp) => cleanUp());
       }
     }
--- a/src/engine/relay/node/caller_replies.ts
+++ b/src/engine/relay/node/caller_replies.ts
@@ -1,30 +1,32 @@
-/** Final answers to callers: of backend servers, and the node's own. */
+/** Final answers to callers: those of backend servers and the node's own. */
 import type { HeaderList } from "../../mesh/common/frames.ts";
 import type { CallDialect } from "../common/dialect.ts";
 import type { EntryResult } from "../common/entry_types.ts";
 import {
-  createRetryHeaders,
+  computeRetryWaitMs,
+  createRetryAfterHeaders,
   getStatus,
-  spreadRetry,
   writeAnswer,
 } from "./caller_answers.ts";
 import type { Exchange } from "./caller_connection.ts";
 
-/** What the replies are built from. */
+/** What the replies depend on. */
 export interface CallerRepliesOptions {
   readonly dialect: CallDialect;
+  /** Steady clock, in milliseconds. */
   readonly readClock: () => number;
+  /** Returns a random number from 0 to 1. */
   readonly draw: () => number;
-  /** Whether the connection ends with the answer to an exchange. */
+  /** Returns whether the answer to an exchange closes the connection. */
   readonly closeIfLast: (exchange: Exchange) => boolean;
 }
 
-/** Longest wait of a caller that says nothing, where the route allows it. */
-export const DEFAULT_PATIENCE_MS = 600_000;
+/** Wait limit of a caller that states none; the route may set a lower one. */
+export const DEFAULT_WAIT_LIMIT_MS = 600_000;
 
 const EMPTY = new Uint8Array();
 
-/** Gives each exchange one answer; a caller that has left gets none. */
+/** Writes one answer to each exchange, unless its caller has left. */
 export class CallerReplies {
   readonly #options: CallerRepliesOptions;
 
@@ -32,7 +34,7 @@
     this.#options = options;
   }
 
-  /** Passes on what became of a call. */
+  /** Answers with the result of a call. */
   finish(exchange: Exchange, result: EntryResult): void {
     if (result.type === "Answered") {
       this.#write(exchange, result.status, result.headers, result.body);
@@ -40,26 +42,33 @@
     }
     const { failure } = result;
     if (failure.type === "Refused") {
-      this.replyLater(exchange, getStatus(failure), failure.retryAfterMs);
+      this.replyRetryLater(exchange, getStatus(failure), failure.retryAfterMs);
     } else {
       this.reply(exchange, getStatus(failure));
     }
   }
 
-  /** Answers with a status alone. */
+  /** Answers with a status and an empty body. */
   reply(exchange: Exchange, status: number): void {
     this.#write(exchange, status, [], EMPTY);
   }
 
-  /** Tells a caller that its request ran nowhere, and when to come back. */
-  replyLater(exchange: Exchange, status: number, retryAfterMs: number): void {
+  /** Answers that the request was not run, and when to retry it. */
+  replyRetryLater(
+    exchange: Exchange,
+    status: number,
+    retryAfterMs: number,
+  ): void {
     const { dialect, readClock, draw } = this.#options;
     const { request, arrivedAtMs } = exchange;
-    const { patienceMs = DEFAULT_PATIENCE_MS } = dialect
+    const { patienceMs = DEFAULT_WAIT_LIMIT_MS } = dialect
       .readTerms(request.headers);
     const timeLeftMs = arrivedAtMs + patienceMs - readClock();
-    const afterMs = spreadRetry(retryAfterMs, { timeLeftMs, draw: draw() });
-    this.#write(exchange, status, createRetryHeaders(afterMs), EMPTY);
+    const waitMs = computeRetryWaitMs(retryAfterMs, {
+      timeLeftMs,
+      draw: draw(),
+    });
+    this.#write(exchange, status, createRetryAfterHeaders(waitMs), EMPTY);
   }
 
   #write(
--- a/src/engine/relay/node/caller_server.ts
+++ b/src/engine/relay/node/caller_server.ts
@@ -1,4 +1,7 @@
-/** The HTTP listener for callers on this VM, the backend server among them. */
+/**
+ * HTTP listener for the callers on this VM, among them the backend server that
+ * makes nested calls.
+ */
 import { createServer } from "node:http";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import type { Socket } from "node:net";
@@ -22,63 +25,77 @@
 import { readBody } from "./body_reader.ts";
 import { CallerConnection } from "./caller_connection.ts";
 import type { Exchange } from "./caller_connection.ts";
-import { CallerReplies, DEFAULT_PATIENCE_MS } from "./caller_replies.ts";
+import { CallerReplies, DEFAULT_WAIT_LIMIT_MS } from "./caller_replies.ts";
 
-/** Starts a call and returns what withdraws it. */
+/** Starts a call to a service; the function returned withdraws it. */
 export type StartCall = (
   request: EntryRequest,
   service: string,
   onResult: (result: EntryResult) => void,
 ) => () => void;
 
-/** What the listener is built from. */
+/** What the listener depends on. */
 export interface CallerServerOptions {
   readonly address: ListenAddress;
   readonly dialect: CallDialect;
   readonly startCall: StartCall;
   readonly workspaces: WorkspaceCheck;
-  /** Asks for a proof that the keys known here are those in force. */
+  /**
+   * Asks the control replicas for a proof that the workspace keys held here are
+   * the current ones.
+   */
   readonly askProof: () => void;
-  /** Notes a call; tells whether a run of the local backend server made it. */
+  /**
+   * Records a call; returns whether a run of the local backend server made it,
+   * and how likely that run is a repeat.
+   */
   readonly observeCall: (call: {
     readonly route: string;
     readonly service: string;
   }) => Pick<EntryRequest, "isNested" | "repeatShare">;
-  /** Service whose backend server runs on this VM. */
+  /** Returns the service whose backend server runs on this VM. */
   readonly getCallerService: () => string;
-  /** A connection was accepted; more may wait in the listener's queue. */
+  /** Called when a connection was accepted; more may be in the accept queue. */
   readonly noteConnection: () => void;
   readonly firstRequests: FirstRequestQueue;
+  /** Steady clock, in milliseconds. */
   readonly readClock: () => number;
+  /** Returns a random number from 0 to 1. */
   readonly draw: () => number;
   readonly log: RelayLog;
 }
 
-/** When callers come back to a node that has yet to be told what is in force. */
-const EARLY_RETRY_MS = 300;
+/** Retry time while the node has no routes, or no current proof of keys. */
+const NOT_READY_RETRY_MS = 300;
+/** Retry time when the memory for request bodies is used up. */
 const MEMORY_RETRY_MS = 500;
 /**
- * Bytes of requests held at a time, those still being read included; more are
- * refused. With as much at the gate, a seventh of a process's 350 MB each.
+ * Limit on the bytes of request bodies in memory, including those still being
+ * read; requests beyond it are refused. The gate has a limit of the same size;
+ * each is a seventh of the 350 MB of a process.
  */
 const MAX_HELD_BYTES = 50_331_648;
-/** Larger than any header that a table allows; the table's limit is checked. */
+/**
+ * Limit of Node's parser, above that of any route table: the limit of the table
+ * in force is checked for each request.
+ */
 const MAX_HEADER_BYTES = 131_072;
 
-/** A request whose body has been read. */
-interface WholeRequest {
+/** A request whose body has been read completely. */
+interface ReceivedRequest {
   readonly body: Uint8Array;
+  /** Undefined if the route needs no key. */
   readonly workspace: Workspace | undefined;
 }
 
-/** What the log says of a request that doesn't go on. */
+/** Reasons in the log lines of refused requests. */
 const REFUSAL_REASONS: Readonly<Record<EntryRefusal["type"], string>> = {
   UnknownKey: "unknown key",
   OverLimit: "over limit",
   LeaseLapsed: "lease on keys lapsed",
 };
 
-/** Takes requests, finds their routes, and gives callers their answers. */
+/** Accepts requests, finds their routes, starts their calls and answers them. */
 export class CallerServer implements AsyncDisposable {
   readonly #options: CallerServerOptions;
   readonly #server: Server;
@@ -86,11 +103,11 @@
   readonly #connections = new Map<Duplex, CallerConnection>();
   readonly #routes = new RoutesInForce();
   #isDraining = false;
-  #open = 0;
-  readonly #held = new HeldBytes(MAX_HELD_BYTES);
-  readonly #waiters = new RouteWaiters<Exchange>();
-  /** Requests whose key, or room under its limit, control has yet to say. */
-  readonly #unsure = new RouteWaiters<Exchange>();
+  #openCount = 0;
+  readonly #heldBytes = new HeldBytes(MAX_HELD_BYTES);
+  readonly #routeWaiters = new RouteWaiters<Exchange>();
+  /** Requests that wait for a proof of their key, or for their rate limit. */
+  readonly #proofWaiters = new RouteWaiters<Exchange>();
 
   constructor(options: CallerServerOptions) {
     this.#options = options;
@@ -102,15 +119,18 @@
     });
     this.#server = createServer(
       { maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0 },
-      (request, response) => this.#accept(request, response),
+      (request, response) => this.#acceptRequest(request, response),
     );
     this.#server.on("connection", options.noteConnection);
-    this.#server.on("clientError", (_error, socket) => this.#refuse(socket));
+    this.#server.on(
+      "clientError",
+      (_error, socket) => this.#rejectMalformed(socket),
+    );
   }
 
-  /** Requests without a final answer. */
+  /** Number of requests without a final answer. */
   get openCount(): number {
-    return this.#open;
+    return this.#openCount;
   }
 
   /** Opens the listener. */
@@ -118,43 +138,43 @@
     await listen(this.#server, this.#options.address);
   }
 
-  /** Puts other routes in force. */
+  /** Replaces the routes in force, and resumes requests that wait for routes. */
   replaceRoutes(routes: RouteTable): void {
     this.#routes.replace(routes);
     const { headerTimeoutMs, idleTimeoutMs } = routes.limits;
     this.#server.headersTimeout = headerTimeoutMs;
     this.#server.keepAliveTimeout = idleTimeoutMs;
-    this.#waiters.takeAll().forEach((exchange) => this.#resume(exchange));
+    this.#routeWaiters.takeAll().forEach((exchange) => this.#resume(exchange));
   }
 
-  /** Looks again at requests that wait for a word of control. */
+  /** Rechecks the requests that wait for the control replicas. */
   resumeUnsure(): void {
-    this.#unsure.takeAll().forEach((exchange) => this.#resume(exchange));
+    this.#proofWaiters.takeAll().forEach((exchange) => this.#resume(exchange));
   }
 
-  /** Gives up requests that have waited as long as they may. */
+  /** Refuses the requests whose wait limit has passed. */
   tick(): void {
     const nowMs = this.#options.readClock();
-    this.#waiters.takeLate(nowMs)
+    this.#routeWaiters.takeLate(nowMs)
       .forEach((exchange) => this.#refuseEarly(exchange, "no routes yet"));
-    this.#unsure.takeLate(nowMs)
+    this.#proofWaiters.takeLate(nowMs)
       .forEach((exchange) => this.#refuseEarly(exchange, "not told in time"));
-    if (!this.#unsure.isEmpty) {
-      // What was asked for last may have come too early to answer them.
+    if (!this.#proofWaiters.isEmpty) {
+      // The last proof may have been requested before these requests arrived.
       this.#options.askProof();
     }
   }
 
-  /** Asks callers to leave with each answer. */
+  /** Makes answers close their connections, so that callers go elsewhere. */
   drain(): void {
     this.#isDraining = true;
   }
 
-  /** Takes no more connections; those in use end with their answers. */
+  /** Accepts no more connections; those in use end with their last answer. */
   close(): void {
     this.#server.close();
     this.#server.closeIdleConnections();
-    this.#connections.forEach((connection) => connection.stopTaking());
+    this.#connections.forEach((connection) => connection.closeWhenIdle());
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -162,28 +182,31 @@
     await new Promise<void>((resolve) => this.#server.close(() => resolve()));
   }
 
-  #accept(request: IncomingMessage, response: ServerResponse): void {
+  #acceptRequest(request: IncomingMessage, response: ServerResponse): void {
     const connection = this.#getConnection(request.socket);
     if (connection.isClosing) {
-      // Behind an answer that closes: the caller knows it as not read.
+      // An earlier answer closes the connection: the caller takes this request
+      // as unread.
       return;
     }
-    this.#open += 1;
+    this.#openCount += 1;
     const exchange: Exchange = {
       request,
       response,
       arrivedAtMs: this.#options.readClock(),
-      queuedMs: connection.isRead ? 0 : this.#options.firstRequests.queuedMs,
-      cleanUps: [() => this.#open -= 1],
-      isGone: false,
+      queuedMs: connection.hasReadBacklog
+        ? 0
+        : this.#options.firstRequests.queuedMs,
+      cleanUps: [() => this.#openCount -= 1],
+      isEnded: false,
     };
-    connection.take(exchange);
+    connection.receive(exchange);
   }
 
   #getConnection(socket: Socket): CallerConnection {
-    const found = this.#connections.get(socket);
-    if (found !== undefined) {
-      return found;
+    const known = this.#connections.get(socket);
+    if (known !== undefined) {
+      return known;
     }
     const connection = new CallerConnection(socket, {
       start: (exchange) => this.#resume(exchange),
@@ -195,38 +218,41 @@
   }
 
   /**
-   * Bytes that are no request. Requests before them are answered first: a 400
-   * at once would be taken for the answer to one of these.
+   * Handles bytes that are not a valid request. Requests before them on the
+   * connection are answered first, because the caller would take an immediate
+   * 400 for the answer to one of those.
    */
-  #refuse(socket: Duplex): void {
+  #rejectMalformed(socket: Duplex): void {
     const connection = this.#connections.get(socket);
     if (connection === undefined || connection.isIdle) {
       socket.end("HTTP/1.1 400 Bad Request\r\nConnection: close\r\n\r\n");
     } else {
-      connection.stopTaking();
+      connection.closeWhenIdle();
     }
   }
 
   #resume(exchange: Exchange): void {
-    if (!exchange.isGone) {
-      this.#take(exchange).catch((error) => this.#breakOff(exchange, error));
+    if (!exchange.isEnded) {
+      this.#process(exchange).catch((error) =>
+        this.#abortExchange(exchange, error)
+      );
     }
   }
 
-  /** An unexpected error must not end the process, and all calls in it. */
-  #breakOff(exchange: Exchange, error: unknown): void {
+  /** Fails one exchange: an unexpected error must not end the process. */
+  #abortExchange(exchange: Exchange, error: unknown): void {
     const errorName = error instanceof Error ? error.name : typeof error;
     this.#logRefused(exchange, "unexpected error", { errorName });
     exchange.response.destroy();
   }
 
-  #waitIn(
+  #enqueueWaiter(
     waiters: RouteWaiters<Exchange>,
     exchange: Exchange,
     reason: string,
   ): void {
     const { request, arrivedAtMs } = exchange;
-    const { patienceMs = DEFAULT_PATIENCE_MS } = this.#options.dialect
+    const { patienceMs = DEFAULT_WAIT_LIMIT_MS } = this.#options.dialect
       .readTerms(request.headers);
     if (!waiters.add(exchange, { arrivedAtMs, patienceMs })) {
       this.#refuseEarly(exchange, reason);
@@ -235,7 +261,7 @@
 
   #refuseEarly(exchange: Exchange, reason: string): void {
     this.#logRefused(exchange, reason);
-    this.#replies.replyLater(exchange, 503, EARLY_RETRY_MS);
+    this.#replies.replyRetryLater(exchange, 503, NOT_READY_RETRY_MS);
   }
 
   #logRefused(
@@ -255,26 +281,26 @@
     });
   }
 
-  async #take(exchange: Exchange): Promise<void> {
+  async #process(exchange: Exchange): Promise<void> {
     const { request } = exchange;
     if (!this.#routes.hasTable) {
-      this.#waitIn(this.#waiters, exchange, "no routes yet");
+      this.#enqueueWaiter(this.#routeWaiters, exchange, "no routes yet");
       return;
     }
-    const found = this.#routes.find(readTarget(request));
-    if ("status" in found) {
-      this.#replies.reply(exchange, found.status);
+    const route = this.#routes.find(readTarget(request));
+    if ("status" in route) {
+      this.#replies.reply(exchange, route.status);
       return;
     }
-    if (found.needsKey !== true) {
-      await this.#readAndStart(exchange, found);
+    if (route.needsKey !== true) {
+      await this.#readAndStart(exchange, route);
       return;
     }
     const { dialect, workspaces } = this.#options;
     const { key } = dialect.readTerms(request.headers);
     const checked = workspaces.check(key, exchange.arrivedAtMs);
-    if (this.#hasEntered(exchange, checked)) {
-      await this.#readAndStart(exchange, found, checked.workspace);
+    if (this.#canContinue(exchange, checked)) {
+      await this.#readAndStart(exchange, route, checked.workspace);
     }
   }
 
@@ -284,42 +310,46 @@
     workspace?: Workspace,
   ): Promise<void> {
     const body = await this.#readBody(exchange);
-    if (body === undefined || exchange.isGone || exchange.response.destroyed) {
+    if (body === undefined || exchange.isEnded || exchange.response.destroyed) {
       return;
     }
-    this.#getConnection(exchange.request.socket).runOnceRead(() => {
+    this.#getConnection(exchange.request.socket).runAfterBacklogRead(() => {
       try {
-        this.#startWhole(exchange, route, { body, workspace });
+        this.#startReceived(exchange, route, { body, workspace });
       } catch (error) {
-        this.#breakOff(exchange, error);
+        this.#abortExchange(exchange, error);
       }
     });
   }
 
-  #startWhole(exchange: Exchange, route: Route, whole: WholeRequest): void {
-    const { workspace } = whole;
-    if (exchange.isGone) {
-      this.#giveBack(workspace);
+  #startReceived(
+    exchange: Exchange,
+    route: Route,
+    received: ReceivedRequest,
+  ): void {
+    const { workspace } = received;
+    if (exchange.isEnded) {
+      this.#refundQuota(workspace);
       return;
     }
-    const mayStart = workspace === undefined || this.#hasEntered(
+    const mayStart = workspace === undefined || this.#canContinue(
       exchange,
       this.#options.workspaces.checkWhole(workspace),
     );
     if (mayStart) {
-      this.#start(exchange, route, whole);
+      this.#start(exchange, route, received);
     }
   }
 
-  /** A request that ran nowhere doesn't count against a limit. */
-  #giveBack(workspace: Workspace | undefined): void {
+  /** Stops counting a request that was not run against its workspace's limit. */
+  #refundQuota(workspace: Workspace | undefined): void {
     if (workspace !== undefined) {
       this.#options.workspaces.giveBack(workspace);
     }
   }
 
-  /** Whether a request goes on; else it waits, or is answered. */
-  #hasEntered(
+  /** Returns whether a request may continue; otherwise queues or refuses it. */
+  #canContinue(
     exchange: Exchange,
     checked: EntryCheck,
   ): checked is Extract<EntryCheck, { type: "Entered" }> {
@@ -328,15 +358,15 @@
         return true;
       case "Waiting":
         this.#options.askProof();
-        this.#waitIn(this.#unsure, exchange, checked.reason);
+        this.#enqueueWaiter(this.#proofWaiters, exchange, checked.reason);
         return false;
       case "Refused":
-        this.#refuseEntry(exchange, checked.refusal);
+        this.#refuse(exchange, checked.refusal);
         return false;
     }
   }
 
-  #refuseEntry(exchange: Exchange, refusal: EntryRefusal): void {
+  #refuse(exchange: Exchange, refusal: EntryRefusal): void {
     const { type, ...inputs } = refusal;
     this.#logRefused(exchange, REFUSAL_REASONS[type], inputs);
     switch (refusal.type) {
@@ -344,30 +374,30 @@
         this.#replies.reply(exchange, 401);
         return;
       case "OverLimit":
-        this.#replies.replyLater(exchange, 429, refusal.retryAfterMs);
+        this.#replies.replyRetryLater(exchange, 429, refusal.retryAfterMs);
         return;
       case "LeaseLapsed":
         this.#options.askProof();
-        this.#replies.replyLater(exchange, 503, refusal.retryAfterMs);
+        this.#replies.replyRetryLater(exchange, 503, refusal.retryAfterMs);
         return;
     }
   }
 
   async #readBody(exchange: Exchange): Promise<Uint8Array | undefined> {
-    const hold = this.#held.open();
-    exchange.cleanUps.push(hold.release);
-    const read = await readBody(exchange.request, {
+    const reservation = this.#heldBytes.open();
+    exchange.cleanUps.push(reservation.release);
+    const result = await readBody(exchange.request, {
       maxBytes: this.#routes.limits!.maxBodyBytes,
-      hold: hold.add,
+      reserve: reservation.add,
     });
-    switch (read.type) {
+    switch (result.type) {
       case "Whole":
-        return read.body;
+        return result.body;
       case "TooLarge":
         this.#replies.reply(exchange, 413);
         return undefined;
       case "NoRoom":
-        this.#replies.replyLater(exchange, 503, MEMORY_RETRY_MS);
+        this.#replies.replyRetryLater(exchange, 503, MEMORY_RETRY_MS);
         return undefined;
       case "Broken":
         return undefined;
@@ -377,11 +407,11 @@
   #start(
     exchange: Exchange,
     route: Route,
-    { body, workspace }: WholeRequest,
+    { body, workspace }: ReceivedRequest,
   ): void {
     const { request, arrivedAtMs } = exchange;
     const { dialect, getCallerService, readClock, startCall } = this.#options;
-    const { requestId, patienceMs = DEFAULT_PATIENCE_MS } = dialect
+    const { requestId, patienceMs = DEFAULT_WAIT_LIMIT_MS } = dialect
       .readTerms(request.headers);
     if (requestId === undefined) {
       this.#replies.reply(exchange, 400);
@@ -389,7 +419,7 @@
     }
     const deadlineMs = arrivedAtMs + Math.min(route.timeoutMs, patienceMs);
     if (readClock() >= deadlineMs) {
-      this.#giveBack(workspace);
+      this.#refundQuota(workspace);
       this.#refuseEarly(exchange, "time limit");
       return;
     }
@@ -411,23 +441,23 @@
       ...origin,
       rank: this.#routes.computeRank(route, workspace),
     };
-    let isDone = false;
+    let isAnswered = false;
     const withdraw = startCall(entry, service, (result) => {
-      isDone = true;
-      if (hasNotRun(result)) {
-        this.#giveBack(workspace);
+      isAnswered = true;
+      if (isRefused(result)) {
+        this.#refundQuota(workspace);
       }
       this.#replies.finish(exchange, result);
     });
     exchange.cleanUps.push(() => {
-      if (!isDone) {
+      if (!isAnswered) {
         withdraw();
       }
     });
   }
 }
 
-function hasNotRun(result: EntryResult): boolean {
+function isRefused(result: EntryResult): boolean {
   return result.type === "Failed" && result.failure.type === "Refused";
 }
 
--- a/src/engine/relay/node/entry_calls.ts
+++ b/src/engine/relay/node/entry_calls.ts
@@ -52,7 +52,7 @@
 import { computeMemberWaitEndMs, MAX_WAITING } from "../common/start_wait.ts";
 
 /** How frames get to a node, and what is known of the way there. */
-export interface MeshPath {
+export interface MeshLinks {
   readonly send: (address: string, frame: MeshFrame) => void;
   /** Tells a node that a call's caller has left, or takes the call back. */
   readonly withdraw: (address: string, call: number) => void;
@@ -68,7 +68,7 @@
   readonly dataCentre: string;
   readonly members: MemberTable;
   readonly budget: BudgetTerms;
-  readonly path: MeshPath;
+  readonly path: MeshLinks;
   readonly readClock: () => number;
   readonly draw: () => number;
   /** The least urgent rank of the routes in force. */
@@ -84,14 +84,14 @@
 }
 
 /** How an attempt came to nothing. */
-interface FailedBy {
+interface AttemptFailure {
   readonly kind: FailureKind;
   readonly cause: RetryCause;
   /** For logs. */
   readonly reason: string;
 }
 
-const STALLED: FailedBy = {
+const STALLED_FAILURE: AttemptFailure = {
   kind: "unknown",
   cause: "stalled",
   reason: "stalled",
@@ -185,7 +185,7 @@
   /** A link is gone; what was sent on it may run, if it was ever open. */
   loseLink(address: string, reason: string, wasOpen: boolean): void {
     this.#options.members.suspect(address, this.#options.readClock());
-    const failed: FailedBy = wasOpen
+    const failed: AttemptFailure = wasOpen
       ? { kind: "unknown", cause: "link_lost", reason }
       : { kind: "refused", cause: "refused", reason };
     [...this.#calls.values()]
@@ -208,7 +208,7 @@
         silent.add(call.attempt!.address);
       } else if (silenceMs > STALLED_MS && this.#canRepeat(call, nowMs)) {
         this.#cancelAttempt(call);
-        this.#fail(call, STALLED);
+        this.#fail(call, STALLED_FAILURE);
       }
     }
     this.#resumeWaiting();
@@ -341,7 +341,7 @@
 
   #finishAnswer(call: EntryCall): void {
     const { opened, body } = call.answer!;
-    if (!body.isWhole) {
+    if (!body.isComplete) {
       return;
     }
     this.#end(call);
@@ -376,7 +376,7 @@
     }
   }
 
-  #fail(call: EntryCall, { kind, cause, reason }: FailedBy): void {
+  #fail(call: EntryCall, { kind, cause, reason }: AttemptFailure): void {
     const nowMs = this.#options.readClock();
     const { member } = call.attempt!;
     if (kind === "unknown" || kind === "rejected") {
--- a/src/engine/relay/node/gate_calls.ts
+++ b/src/engine/relay/node/gate_calls.ts
@@ -54,7 +54,7 @@
 }
 
 /** How long after its deadline a call without an answer is given up. */
-const OVERDUE_MS = 1_000;
+const ANSWER_GRACE_MS = 1_000;
 
 /** Calls of all callers for the one backend server beside this node. */
 export class GateCalls implements AsyncDisposable {
@@ -153,7 +153,7 @@
       case "BodyPart": {
         const call = this.#calls.find(source, frame.call);
         call?.body.add(frame.bytes);
-        if (call?.phase === "receiving" && call.body.isWhole) {
+        if (call?.phase === "receiving" && call.body.isComplete) {
           this.#admitOnceRead(call);
         }
         return;
@@ -193,7 +193,7 @@
    * was told the deadline and has stopped work by then.
    */
   #endOverdue(): void {
-    const dueMs = this.#options.readClock() - OVERDUE_MS;
+    const dueMs = this.#options.readClock() - ANSWER_GRACE_MS;
     for (const call of [...this.#calls.list()]) {
       if (call.deadlineMs < dueMs) {
         call.exchange?.breakOff();
@@ -247,7 +247,7 @@
       this.#fail(call, "refused", "other_service");
     } else if (this.#calls.isOverfull(opened.bodyBytes)) {
       this.#fail(call, "refused", "memory");
-    } else if (call.body.isWhole) {
+    } else if (call.body.isComplete) {
       this.#admitOnceRead(call);
     }
   }
