--- a/src/engine/mesh/common/body_parts.ts
+++ b/src/engine/mesh/common/body_parts.ts
@@ -1,14 +1,14 @@
-/** Cuts bodies into parts that fit a frame, and puts them together again. */
+/** Splits bodies into parts that fit into a frame, and joins them again. */
 import { MAX_PART_BYTES } from "./frames.ts";
 
-/** Returns the part that rides on the opening frame. */
+/** Returns the part that is sent with the opening frame. */
 export function cutFirstPart(body: Uint8Array): Uint8Array {
   return body.length <= MAX_PART_BYTES
     ? body
     : body.subarray(0, MAX_PART_BYTES);
 }
 
-/** Lists the parts that follow the first one. */
+/** Lists the parts that are sent in `BodyPart` frames. */
 export function listFurtherParts(body: Uint8Array): readonly Uint8Array[] {
   const parts: Uint8Array[] = [];
   for (
@@ -21,7 +21,7 @@
   return parts;
 }
 
-/** Collects a body whose length is known beforehand. */
+/** Collects the parts of a body of known length. */
 export class BodyCollector {
   readonly #parts: Uint8Array[] = [];
   readonly #totalBytes: number;
@@ -32,7 +32,7 @@
     this.add(first);
   }
 
-  /** Whether all bytes have come. */
+  /** Whether all bytes have been received. */
   get isComplete(): boolean {
     return this.#receivedBytes >= this.#totalBytes;
   }
--- a/src/engine/mesh/common/frames.ts
+++ b/src/engine/mesh/common/frames.ts
@@ -1,58 +1,58 @@
-/** What nodes say to each other about calls; many frames share a message. */
+/** Frames that nodes exchange about calls; a message carries many frames. */
 
-/** Names and values by turns, as they stood on the wire. */
+/** Names and values alternately, as received. */
 export type HeaderList = readonly string[];
 
 /** A call for the receiver's backend server. */
 export interface CallOpened {
   readonly type: "CallOpened";
-  /** Number of the call on this link. */
+  /** Number of the call, unique on this link. */
   readonly call: number;
   readonly requestId: string;
-  /** Whose backend server shall run it; another service's node refuses. */
+  /** Service whose backend server runs it; nodes of other services refuse. */
   readonly service: string;
   readonly method: string;
   /** Path and query, unchanged. */
   readonly target: string;
   readonly headers: HeaderList;
   /**
-   * When the caller has its final answer, by the steady clock of the process
-   * that holds the frame. On the wire it is the time that is left as the bytes
-   * leave: a call that waits within a process has that much less.
+   * When the caller must have its final answer, by the steady clock of the
+   * process that holds the frame. On the wire it is the remaining time when the
+   * message is encoded, so that time spent waiting in a process counts.
    */
   readonly deadlineMs: number;
-  /** Urgency of the route; 0 is the most urgent. */
+  /** Urgency of the call, from its root request; 0 is the most urgent. */
   readonly rank: number;
-  /** Name of the route; keys what is learnt of its service time. */
+  /** Name of the route; service times are estimated by route. */
   readonly route: string;
   readonly isIdempotent: boolean;
-  /** Whether a backend server's own call: work above it is invested. */
+  /** Whether a backend server made the call, for a request that it runs. */
   readonly isNested: boolean;
   /**
-   * How likely it is that this arrival is a repeat, 0 to 1: 1 for a retry, else
+   * Probability that this attempt is a repeat, 0 to 1: 1 for a retry, otherwise
    * the share of repeats among the runs that may have made the call.
    */
   readonly repeatShare: number;
-  /** Length of the whole body. */
+  /** Length of the complete body. */
   readonly bodyBytes: number;
   /** The body, or its first part. */
   readonly body: Uint8Array;
 }
 
-/** The next part of a body, of a call or of its answer. */
+/** The next part of the body of a call or of its answer. */
 export interface BodyPart {
   readonly type: "BodyPart";
   readonly call: number;
   readonly bytes: Uint8Array;
 }
 
-/** The caller has left, or the call's time is up. */
+/** Cancels a call: the caller has left, or the call is abandoned. */
 export interface CallCancelled {
   readonly type: "CallCancelled";
   readonly call: number;
 }
 
-/** The backend server's answer. */
+/** The answer of the backend server. */
 export interface AnswerOpened {
   readonly type: "AnswerOpened";
   readonly call: number;
@@ -64,72 +64,74 @@
   readonly body: Uint8Array;
 }
 
-/** Why a call has no answer of the backend server. */
+/** Why the backend server has not answered a call. */
 export type FailureKind =
-  /** No backend server saw it, and none will. */
+  /** It was not handed to a backend server, and will not be. */
   | "refused"
-  /** The backend server said itself that it did not run it. */
+  /** The backend server itself reported that it did not run it. */
   | "rejected"
-  /** It was handed over and what became of it isn't known. */
+  /** It was handed over, and its outcome is not known. */
   | "unknown"
-  /** The time limit was reached while it ran. */
+  /** Its deadline passed while it ran. */
   | "expired";
 
-/** The call ends without an answer. */
+/** Ends a call without an answer. */
 export interface CallFailed {
   readonly type: "CallFailed";
   readonly call: number;
   readonly kind: FailureKind;
   /** For logs. */
   readonly reason: string;
-  /** When to come back; 0 where nothing is known. */
+  /** Time after which to retry, in milliseconds; 0 if unknown. */
   readonly retryAfterMs: number;
   readonly load: LoadFigures;
 }
 
-/** Load of one backend server, as its node sees it. */
+/** Load of one backend server, as measured by its node. */
 export interface LoadFigures {
+  /** Requests that run at the backend server. */
   readonly running: number;
+  /** Calls that wait at the gate. */
   readonly queued: number;
-  /** Requests that may run at a time; 0 where none may. */
+  /** Requests that may run at a time; 0 if none may. */
   readonly limit: number;
-  /** How hard roots that lead here should be refused, 0 to 1. */
+  /** How strongly to refuse root requests whose call path leads here, 0 to 1. */
   readonly pressure: number;
-  /** Mean time of a run, in milliseconds; 0 where none is known. */
+  /** Mean service time, in milliseconds; 0 if unknown. */
   readonly serviceMs: number;
 }
 
-/** Said from time to time on links in use; also shows that the sender lives. */
+/** Periodic report on links in use; it also serves as a heartbeat. */
 export interface LoadReported {
   readonly type: "LoadReported";
   readonly load: LoadFigures;
-  /** One for each route with calls; undefined where nothing new is said. */
+  /** One for each route that makes calls; undefined if unchanged. */
   readonly below: readonly PressureBelow[] | undefined;
-  /** From which services calls came here; empty where nothing new is said. */
+  /** The services that call this one; empty if there is nothing new. */
   readonly callers: CallerReport;
 }
 
-/** Pressure below the requests of a route that make calls at the sender. */
+/** Pressure in the downstream services that requests of a route call. */
 export type PressureBelow = readonly [
   route: string,
   pressure: number,
-  /** Since the gate under pressure said so, in milliseconds. */
+  /** Time since the gate under pressure reported it, in milliseconds. */
   ageMs: number,
 ];
 
-/** Calls by route, then by the service on whose VM they began. */
+/** Number of calls by route, then by the service on whose VM they began. */
 export type CallerReport = readonly (readonly [
   route: string,
   callers: readonly (readonly [service: string, calls: number])[],
 ])[];
 
-/** The first frame on a link: whose VM the calls on it begin on. */
+/** First frame on a link: names the service on whose VM its calls begin. */
 export interface CallerIntroduced {
   readonly type: "CallerIntroduced";
   readonly service: string;
 }
 
-/** One frame. */
+/** Any frame. */
 export type MeshFrame =
   | CallOpened
   | BodyPart
@@ -139,7 +141,7 @@
   | LoadReported
   | CallerIntroduced;
 
-/** Largest part of a body in one frame; larger bodies come in several. */
+/** Largest part of a body in one frame; larger bodies are sent in several. */
 export const MAX_PART_BYTES = 65_536;
 
 const TAGS = {
@@ -159,14 +161,15 @@
   "expired",
 ];
 
-/** Shares go as whole hundredths: one byte in place of nine. */
+/** Ratios are sent as whole hundredths: one byte instead of nine. */
 const HUNDREDTHS = 100;
 
+/** `LoadFigures` on the wire: running, queued, limit, pressure, serviceMs. */
 type WireLoad = readonly [number, number, number, number, number?];
 
 /**
- * Turns a frame into the list that is packed at `nowMs`: field names on the
- * wire would add some 150 bytes to each call.
+ * Converts a frame to the list of fields that is encoded at `nowMs`. Field names
+ * on the wire would add about 150 bytes to each call.
  */
 export function flattenFrame(
   frame: MeshFrame,
@@ -226,8 +229,8 @@
 }
 
 /**
- * Reads a frame that arrived at `arrivedAtMs` by the receiver's steady clock;
- * undefined for one of a newer format.
+ * Parses a frame received at `arrivedAtMs` by the receiver's steady clock;
+ * undefined for a type that this version doesn't know.
  */
 export function parseFrame(
   fields: readonly unknown[],
--- a/src/engine/mesh/node/frame_writer.ts
+++ b/src/engine/mesh/node/frame_writer.ts
@@ -1,14 +1,17 @@
-/** Sends the frames of one turn of the event loop as one message. */
+/** Encodes and decodes messages; sends the frames of one event loop turn as one. */
 import { Packr } from "msgpackr";
 import type { WebSocket } from "ws";
 import { flattenFrame, parseFrame } from "../common/frames.ts";
 import type { MeshFrame } from "../common/frames.ts";
 
 const PACKR = new Packr({ useRecords: false });
-/** A message is closed at this size, so that none nears the largest taken. */
+/**
+ * A message is sent at this size of bodies, so that none nears the largest
+ * message that the peer accepts.
+ */
 const FLUSH_THRESHOLD_BYTES = 1_048_576;
 
-/** Collects frames until the turn ends: one system call for all of them. */
+/** Batches the frames of one event loop turn into one system call. */
 export class FrameWriter {
   readonly #socket: WebSocket;
   readonly #readClock: () => number;
@@ -21,12 +24,12 @@
     this.#readClock = readClock;
   }
 
-  /** Bytes that the socket has not taken yet. */
+  /** Bytes that the socket has not written yet. */
   get bufferedBytes(): number {
     return this.#socket.bufferedAmount + this.#pendingBodyBytes;
   }
 
-  /** Sends a frame with the others of this turn. */
+  /** Sends a frame with the others of this turn of the event loop. */
   write(frame: MeshFrame): void {
     this.#pendingFrames.push(frame);
     this.#pendingBodyBytes += measureBodyBytes(frame);
@@ -58,10 +61,13 @@
   }
 }
 
-/** Tells when a message arrived; its sender's clock counts from any time. */
+/**
+ * Computes when a message arrived, by the receiver's clock. The zero of the
+ * sender's clock is arbitrary.
+ */
 export type ComputeArrivalMs = (sentAtMs: number) => number;
 
-/** Reads the frames of a message; undefined where the bytes are none. */
+/** Decodes the frames of a message; undefined if it is malformed. */
 export function decodeMessage(
   bytes: Uint8Array,
   computeArrivalMs: ComputeArrivalMs,
--- a/src/engine/mesh/node/mesh_client.ts
+++ b/src/engine/mesh/node/mesh_client.ts
@@ -1,36 +1,40 @@
-/** The links that a node opens to other nodes, one to each address. */
+/** Links that a node opens to other nodes, one for each address. */
 import { WebSocket } from "ws";
 import type { MeshFrame } from "../common/frames.ts";
 import { decodeMessage, FrameWriter } from "./frame_writer.ts";
 
-/** What the client is built from. */
+/** What the client depends on. */
 export interface MeshClientOptions {
+  /** Called for each frame received. */
   readonly onFrame: (address: string, frame: MeshFrame) => void;
-  /** The link is gone; frames sent on it may have arrived if it was open. */
+  /** Called when a link is lost; if it was open, sent frames may have arrived. */
   readonly onLost: (address: string, reason: string, wasOpen: boolean) => void;
+  /** Steady clock, in milliseconds. */
   readonly readClock: () => number;
-  /** Service on whose VM the calls begin; said first on each link. */
+  /** Returns the service on whose VM calls begin; sent first on each link. */
   readonly getService: () => string;
 }
 
 interface MeshLink {
   readonly socket: WebSocket;
   readonly writer: FrameWriter;
-  /** Frames that wait for the link to open. */
+  /** Frames to send once the link is open. */
   queuedFrames: MeshFrame[];
+  /** Whether the link has ever been open. */
   wasOpen: boolean;
+  /** When it opened, or its last message came; the creation before that. */
   lastReceivedAtMs: number;
   lastUsedAtMs: number;
 }
 
-/** Longest time that opening a link may take: some round trips and a loss. */
+/** Allows for several round trips and one lost packet. */
 const CONNECT_TIMEOUT_MS = 800;
-/** A link that isn't used for so long is closed. */
+/** Links on which nothing is sent for this long are closed. */
 const IDLE_TIMEOUT_MS = 30_000;
-/** Largest message that is taken; above all that a writer makes. */
+/** Largest message accepted; above any that `FrameWriter` sends. */
 export const MAX_MESSAGE_BYTES = 16_777_216;
 
-/** Opens links on demand and tells their ends apart by address. */
+/** Opens links on demand, and identifies them by address. */
 export class MeshClient implements AsyncDisposable {
   readonly #options: MeshClientOptions;
   readonly #links = new Map<string, MeshLink>();
@@ -39,7 +43,7 @@
     this.#options = options;
   }
 
-  /** Sends a frame, on a new link where there is none. */
+  /** Sends a frame, on a new link if there is none. */
   send(address: string, frame: MeshFrame): void {
     const link = this.#links.get(address) ?? this.#connect(address);
     link.lastUsedAtMs = this.#options.readClock();
@@ -51,9 +55,9 @@
   }
 
   /**
-   * Tells the other end that the caller of a call has left. Frames that still
-   * wait for their link are taken back: a call that is sent once its caller is
-   * gone has no withdrawal behind it, and is run for nobody.
+   * Cancels a call at the other end. If the link is not open yet, drops the
+   * queued frames of the call instead: they would be sent without a
+   * cancellation behind them, and the call would run after its caller left.
    */
   withdraw(address: string, call: number): void {
     const link = this.#links.get(address);
@@ -65,24 +69,24 @@
     }
   }
 
-  /** Opens a link where there is none. */
+  /** Opens a link if there is none. */
   open(address: string): void {
     if (!this.#links.has(address)) {
       this.#connect(address);
     }
   }
 
-  /** Whether frames sent now leave at once. */
+  /** Whether the link is open, so that frames leave at once. */
   isOpen(address: string): boolean {
     return this.#links.get(address)?.socket.readyState === WebSocket.OPEN;
   }
 
-  /** When the other end was last heard; undefined without a link. */
+  /** Returns when the last message was received; undefined without a link. */
   getHeardAtMs(address: string): number | undefined {
     return this.#links.get(address)?.lastReceivedAtMs;
   }
 
-  /** Gives a link up: the other end went silent. */
+  /** Terminates a link as lost, e.g. because the other end went silent. */
   drop(address: string, reason: string): void {
     const link = this.#links.get(address);
     if (link !== undefined) {
@@ -92,7 +96,7 @@
     }
   }
 
-  /** Says on all links that the calls begin on another service's VM now. */
+  /** Sends a changed service of this VM on all open links. */
   introduce(): void {
     for (const { socket, writer } of this.#links.values()) {
       if (socket.readyState === WebSocket.OPEN) {
@@ -101,7 +105,7 @@
     }
   }
 
-  /** Closes links that weren't used for long. */
+  /** Closes the links on which nothing was sent for `IDLE_TIMEOUT_MS`. */
   closeIdle(): void {
     const idleSinceMs = this.#options.readClock() - IDLE_TIMEOUT_MS;
     for (const [address, link] of this.#links) {
@@ -128,7 +132,8 @@
       handshakeTimeout: CONNECT_TIMEOUT_MS,
       perMessageDeflate: false,
       maxPayload: MAX_MESSAGE_BYTES,
-      // The peers are ours: a mask of zeros saves a pass over every byte.
+      // All peers are nodes, so that a mask of zeros is safe; it saves a pass
+      // over every byte.
       generateMask: (mask) => mask.fill(0),
     });
     const nowMs = this.#options.readClock();
--- a/src/engine/mesh/node/mesh_server.ts
+++ b/src/engine/mesh/node/mesh_server.ts
@@ -1,4 +1,4 @@
-/** The links that other nodes open to this one. */
+/** Links that other nodes open to this one. */
 import { createServer } from "node:http";
 import type { Server } from "node:http";
 import { WebSocketServer } from "ws";
@@ -11,22 +11,26 @@
 import { decodeMessage, FrameWriter } from "./frame_writer.ts";
 import { MAX_MESSAGE_BYTES } from "./mesh_client.ts";
 
-/** What the server is built from. */
+/** What the server depends on. */
 export interface MeshServerOptions {
   readonly address: ListenAddress;
-  /** `delayMs`: how much longer than usual the message was on its way. */
+  /**
+   * Called with the frames of a message, which was `delayMs` longer in transit
+   * than usual.
+   */
   readonly onFrames: (
     link: number,
     frames: readonly MeshFrame[],
     delayMs: number,
   ) => void;
   readonly onClosed: (link: number) => void;
-  /** Whether calls of a link are in progress: it must not fall silent. */
+  /** Whether calls of a link are in progress, which keep the reports going. */
   readonly hasCalls: (link: number) => boolean;
-  /** How often the load is said on links in use, in milliseconds. */
+  /** Interval of load reports on links in use, in milliseconds. */
   readonly reportMs: number;
-  /** Made anew for each report. */
+  /** Creates the next report, sent on all links in use. */
   readonly createReport: () => LoadReported;
+  /** Steady clock, in milliseconds. */
   readonly readClock: () => number;
 }
 
@@ -34,16 +38,16 @@
   readonly socket: WebSocket;
   readonly writer: FrameWriter;
   readonly transitDelay: TransitDelay;
-  /** Whether it was heard since the last report. */
+  /** Whether a message was received since the last report, or it is new. */
   hasReceived: boolean;
-  /** Whether an answer, which has the load too, was sent since then. */
+  /** Whether an answer, which carries the load, was sent since then. */
   hasSentLoad: boolean;
 }
 
-/** A link whose peer takes nothing is closed beyond this many bytes. */
+/** A link is closed if its peer leaves more than this many bytes unread. */
 const MAX_BUFFERED_BYTES = 33_554_432;
 
-/** Accepts links and tells them apart by number. */
+/** Accepts links, and identifies them by number. */
 export class MeshServer implements AsyncDisposable {
   readonly #options: MeshServerOptions;
   readonly #http: Server;
@@ -63,14 +67,14 @@
     this.#sockets.on("connection", (socket) => this.#accept(socket));
   }
 
-  /** Opens the listener and starts to report. */
+  /** Opens the listener, and starts the periodic reports. */
   async open(): Promise<void> {
     await listen(this.#http, this.#options.address);
     const { reportMs } = this.#options;
     this.#stopReports = startTicks(reportMs, () => this.report());
   }
 
-  /** Sends a frame; a closed link is passed over, a clogged one closed. */
+  /** Sends a frame; ignored on a closed link, and closes a congested one. */
   send(link: number, frame: MeshFrame): void {
     const accepted = this.#links.get(link);
     if (accepted === undefined) {
@@ -84,16 +88,16 @@
     accepted.writer.write(frame);
   }
 
-  /** Says the load on links in use that have not heard it otherwise. */
+  /** Reports the load on links in use where no answer has carried it. */
   report(): void {
     const report = this.#options.createReport();
-    const hasReports = (report.below?.length ?? 0) > 0 ||
+    const hasMoreThanLoad = (report.below?.length ?? 0) > 0 ||
       report.callers.length > 0;
     for (const [number, link] of this.#links) {
       const isInUse = link.hasReceived || this.#options.hasCalls(number);
-      // The answers of a busy link say the load: a report would wake both ends
-      // for nothing, ten times a second and link.
-      if (isInUse && (hasReports || !link.hasSentLoad)) {
+      // The answers on a busy link carry the load: reports would wake both ends
+      // for nothing, ten times a second for each link.
+      if (isInUse && (hasMoreThanLoad || !link.hasSentLoad)) {
         link.writer.write(report);
       }
       link.hasReceived = false;
--- a/src/engine/relay/node/entry_calls.ts
+++ b/src/engine/relay/node/entry_calls.ts
@@ -1,4 +1,4 @@
-/** Sees each call of this node's callers through to its final answer. */
+/** Carries each call of this node's callers through to its final answer. */
 import {
   BodyCollector,
   listFurtherParts,
@@ -51,53 +51,65 @@
 import type { RelayLog } from "../common/relay_log.ts";
 import { computeMemberWaitEndMs, MAX_WAITING } from "../common/start_wait.ts";
 
-/** How frames get to a node, and what is known of the way there. */
+/** The links to the ingress addresses of other nodes. */
 export interface MeshLinks {
+  /** Sends a frame, on a new link if there is none. */
   readonly send: (address: string, frame: MeshFrame) => void;
-  /** Tells a node that a call's caller has left, or takes the call back. */
+  /** Cancels a call at a node, or drops its frames if they are still queued. */
   readonly withdraw: (address: string, call: number) => void;
+  /** Returns whether frames sent now leave at once. */
   readonly isOpen: (address: string) => boolean;
+  /**
+   * Returns when the last message was received on a link; undefined without a
+   * link and for this node's own address.
+   */
   readonly getHeardAtMs: (address: string) => number | undefined;
-  /** Opens a link ahead of any call, so that the other end is heard. */
+  /** Opens a link without a call, so that the node's reports are received. */
   readonly probe: (address: string) => void;
+  /** Closes a link as lost. */
   readonly drop: (address: string, reason: string) => void;
 }
 
-/** What the entry calls are built from. */
+/** What the entry calls depend on. */
 export interface EntryCallsOptions {
+  /** Data centre of this node, preferred when a member is chosen. */
   readonly dataCentre: string;
   readonly members: MemberTable;
   readonly budget: BudgetTerms;
   readonly path: MeshLinks;
+  /** Steady clock, in milliseconds. */
   readonly readClock: () => number;
+  /** Returns a random number from 0 to 1. */
   readonly draw: () => number;
-  /** The least urgent rank of the routes in force. */
+  /** Returns the least urgent rank of the routes in force. */
   readonly getLastRank: () => number;
   readonly log: RelayLog;
   readonly loop: CallLoop;
-  /** The gate at an address says where the calls there came from. */
+  /** Receives the report of a gate about the services that call it. */
   readonly hearCallers: (address: string, report: CallerReport) => void;
-  /** A call is sent to a service: for the first time, or once more. */
+  /** Counts an attempt at a call of a service: the first, or a retry. */
   readonly noteAttempt: (service: string, cause: "first" | RetryCause) => void;
-  /** A call of a route has its final answer. */
+  /** Records the time from a call's arrival to its end, in milliseconds. */
   readonly noteEnded: (route: string, elapsedMs: number) => void;
 }
 
-/** How an attempt came to nothing. */
+/** Why an attempt failed. */
 interface AttemptFailure {
   readonly kind: FailureKind;
+  /** Counted and logged if the call is retried. */
   readonly cause: RetryCause;
   /** For logs. */
   readonly reason: string;
 }
 
+/** The link of an attempt has been silent for `STALLED_MS`. */
 const STALLED_FAILURE: AttemptFailure = {
   kind: "unknown",
   cause: "stalled",
   reason: "stalled",
 };
 
-/** What a node's own word on a failed call is counted as. */
+/** The retry cause for each kind of failure that a node reports. */
 const RETRY_CAUSES: Readonly<Record<FailureKind, RetryCause>> = {
   refused: "refused",
   rejected: "rejected",
@@ -105,17 +117,20 @@
   expired: "answer_lost",
 };
 
-/** When a root that was refused for pressure may come back. */
+/** Retry time of a root request that was refused for pressure. */
 const ROOT_RETRY_MS = 700;
 
-/** Calls by their number; numbers are never used twice in a process. */
+/**
+ * Calls in progress at the entry, by number; a process never uses a number
+ * twice.
+ */
 export class EntryCalls {
   readonly #options: EntryCallsOptions;
   readonly #budget: EntryBudget;
-  readonly #admitted = new AdmittedShare();
+  readonly #admittedShare = new AdmittedShare();
   readonly #calls = new Map<number, EntryCall>();
-  /** Calls of services that no member is known of yet. */
-  readonly #waiting = new Set<EntryCall>();
+  /** Calls of services without a known member. */
+  readonly #memberWaiters = new Set<EntryCall>();
   #nextId = 1;
 
   constructor(options: EntryCallsOptions) {
@@ -124,7 +139,7 @@
     this.#budget = new EntryBudget(budget, { startedAtMs: readClock(), draw });
   }
 
-  /** Counts what was sent to each service in the window that ends now. */
+  /** Counts the attempts for each service in the budget window ending now. */
   countByService(): ReadonlyMap<string, BudgetCounts> {
     const nowMs = this.#options.readClock();
     return new Map(
@@ -133,12 +148,12 @@
     );
   }
 
-  /** Calls without a final answer. */
+  /** Number of calls without a final answer. */
   get openCount(): number {
     return this.#calls.size;
   }
 
-  /** Starts a call; the function returned withdraws it. */
+  /** Starts a call to a service; the function returned withdraws it. */
   start(
     request: EntryRequest,
     service: string,
@@ -146,7 +161,7 @@
   ): () => void {
     const call = createEntryCall(this.#nextId++, request, service, onResult);
     this.#calls.set(call.id, call);
-    if (!request.isNested && this.#refuseRoot(call)) {
+    if (!request.isNested && this.#tryRefuseRoot(call)) {
       return () => {};
     }
     this.#budget.noteFirst(createBudgeted(call), request.arrivedAtMs);
@@ -155,14 +170,14 @@
     return () => this.#withdraw(call);
   }
 
-  /** Takes a frame of the node at `address`. */
+  /** Processes a frame from the node at `address`. */
   receive(address: string, frame: MeshFrame): void {
     switch (frame.type) {
       case "AnswerOpened":
         this.#openAnswer(address, frame);
         return;
       case "BodyPart": {
-        const call = this.#find(address, frame.call);
+        const call = this.#findCurrent(address, frame.call);
         if (call?.answer !== undefined) {
           call.answer.body.add(frame.bytes);
           this.#finishAnswer(call);
@@ -170,10 +185,10 @@
         return;
       }
       case "CallFailed":
-        this.#takeFailure(address, frame);
+        this.#receiveFailure(address, frame);
         return;
       case "LoadReported":
-        this.#takeLoad(address, frame);
+        this.#receiveLoad(address, frame);
         return;
       case "CallOpened":
       case "CallCancelled":
@@ -182,57 +197,68 @@
     }
   }
 
-  /** A link is gone; what was sent on it may run, if it was ever open. */
+  /**
+   * Fails the attempts on a lost link. They may have run, unless the link never
+   * opened.
+   */
   loseLink(address: string, reason: string, wasOpen: boolean): void {
     this.#options.members.suspect(address, this.#options.readClock());
-    const failed: AttemptFailure = wasOpen
+    const failure: AttemptFailure = wasOpen
       ? { kind: "unknown", cause: "link_lost", reason }
       : { kind: "refused", cause: "refused", reason };
     [...this.#calls.values()]
       .filter((call) => call.attempt?.address === address)
-      .forEach((call) => this.#fail(call, failed));
+      .forEach((call) => this.#fail(call, failure));
   }
 
-  /** Ends calls whose time is up, and gives silent links up. */
+  /**
+   * Ends expired calls, retries stalled ones, drops silent links, and probes
+   * suspect members that are due.
+   */
   tick(): void {
     const { members, path, readClock } = this.#options;
     const { getHeardAtMs } = path;
     const nowMs = readClock();
-    const silent = new Set<string>();
+    const silentAddresses = new Set<string>();
     for (const call of [...this.#calls.values()]) {
       const silenceMs = measureCallSilence(call.attempt, getHeardAtMs, nowMs);
       if (nowMs >= call.request.deadlineMs) {
         this.#cancelAttempt(call);
         this.#finish(call, { type: "Expired" }, "time limit", { silenceMs });
       } else if (silenceMs > SILENCE_MS) {
-        silent.add(call.attempt!.address);
-      } else if (silenceMs > STALLED_MS && this.#canRepeat(call, nowMs)) {
+        silentAddresses.add(call.attempt!.address);
+      } else if (
+        silenceMs > STALLED_MS && this.#canRetryElsewhere(call, nowMs)
+      ) {
         this.#cancelAttempt(call);
         this.#fail(call, STALLED_FAILURE);
       }
     }
-    this.#resumeWaiting();
-    silent.forEach((address) => path.drop(address, "silent"));
+    this.#resumeMemberWaiters();
+    silentAddresses.forEach((address) => path.drop(address, "silent"));
     members.takeDueProbes(nowMs).forEach((address) => path.probe(address));
   }
 
-  /** Roots are refused where a service on their way is short of room. */
-  #refuseRoot(call: EntryCall): boolean {
+  /**
+   * Refuses a root request according to its rank if a service on its call path
+   * is short of capacity. Returns whether it was refused.
+   */
+  #tryRefuseRoot(call: EntryCall): boolean {
     const { members, getLastRank } = this.#options;
     const { route, rank, target, body, arrivedAtMs } = call.request;
     const { pressure } = members
       .computeWayPressure(call.service, route.name, arrivedAtMs);
     if (pressure === 0) {
-      this.#admitted.note(true, arrivedAtMs);
+      this.#admittedShare.note(true, arrivedAtMs);
       return false;
     }
     const lastRank = getLastRank();
-    const admittedShare = this.#admitted.value;
-    const asked = { route: route.name, target, body };
-    const draw = drawForRequest(asked, arrivedAtMs);
+    const admittedShare = this.#admittedShare.value;
+    const identity = { route: route.name, target, body };
+    const draw = drawForRequest(identity, arrivedAtMs);
     const inputs = { lastRank, pressure, admittedShare };
     const isRefused = isRootRefused({ rank, draw, ...inputs });
-    this.#admitted.note(!isRefused, arrivedAtMs);
+    this.#admittedShare.note(!isRefused, arrivedAtMs);
     if (isRefused) {
       const failure = { type: "Refused", retryAfterMs: ROOT_RETRY_MS } as const;
       this.#finish(call, failure, "pressure", inputs);
@@ -241,23 +267,26 @@
   }
 
   /**
-   * An error of a service that calls no other is its backend server's own:
-   * another one may do better. Above, the same call below would fail again.
+   * Returns whether to retry a call that was answered with an error. The error
+   * of a leaf service, which calls no other, comes from its backend server
+   * alone, and another one may succeed. In other services a retry would repeat
+   * the downstream call that failed.
    */
-  #isWorthRepeating(call: EntryCall, nowMs: number): boolean {
+  #isRetryUseful(call: EntryCall, nowMs: number): boolean {
     return this.#options.members.isLeaf(call.service) &&
-      this.#canRepeat(call, nowMs);
+      this.#canRetryElsewhere(call, nowMs);
   }
 
-  /** Whether a call would go elsewhere if its attempt were given up. */
-  #canRepeat(call: EntryCall, nowMs: number): boolean {
-    const step = this.#decide(call, "unknown", call.handedOver + 1, nowMs);
+  /** Whether a call would be retried elsewhere if its attempt were abandoned. */
+  #canRetryElsewhere(call: EntryCall, nowMs: number): boolean {
+    const step = this.#decideNext(call, "unknown", call.handedOver + 1, nowMs);
     return step.type === "TryElsewhere";
   }
 
   /**
-   * A process that is behind reads the close of a connection after the request
-   * on it, and would send calls for callers that have left.
+   * Sends a call once the event loop has caught up. A process that lags reads
+   * the close of a connection after the request on it, and would send calls
+   * for callers that have left.
    */
   #send(call: EntryCall): void {
     this.#options.loop.runOnceRead(() => {
@@ -276,7 +305,8 @@
       nowMs,
       draw: draw(),
       canProbe: call.request.route.isIdempotent && !call.request.isNested,
-      isSilent: (found) => isMemberSilent(found, path.getHeardAtMs, nowMs),
+      isSilent: (candidate) =>
+        isMemberSilent(candidate, path.getHeardAtMs, nowMs),
     });
     if (member === undefined) {
       this.#waitForMember(call, nowMs);
@@ -298,22 +328,22 @@
   #waitForMember(call: EntryCall, nowMs: number): void {
     const { arrivedAtMs, deadlineMs } = call.request;
     const patienceMs = deadlineMs - arrivedAtMs;
-    const mayCome = call.tried.size === 0 &&
+    const canStillJoin = call.tried.size === 0 &&
       !this.#options.members.isComplete(call.service);
     if (
-      mayCome && this.#waiting.size < MAX_WAITING &&
+      canStillJoin && this.#memberWaiters.size < MAX_WAITING &&
       nowMs < computeMemberWaitEndMs({ arrivedAtMs, patienceMs })
     ) {
-      this.#waiting.add(call);
+      this.#memberWaiters.add(call);
     } else {
       this.#finish(call, createRefusal(call), "no member");
     }
   }
 
-  #resumeWaiting(): void {
-    const waiting = [...this.#waiting];
-    this.#waiting.clear();
-    waiting.filter(({ id }) => this.#calls.has(id))
+  #resumeMemberWaiters(): void {
+    const waiters = [...this.#memberWaiters];
+    this.#memberWaiters.clear();
+    waiters.filter(({ id }) => this.#calls.has(id))
       .forEach((call) => this.#send(call));
   }
 
@@ -321,19 +351,19 @@
     const { members, readClock } = this.#options;
     const nowMs = readClock();
     members.noteLoad(address, opened.load, nowMs);
-    const call = this.#find(address, opened.call);
+    const call = this.#findCurrent(address, opened.call);
     if (call === undefined) {
       return;
     }
     const isFailure = opened.status >= 500;
-    if (isFailure && this.#isWorthRepeating(call, nowMs)) {
+    if (isFailure && this.#isRetryUseful(call, nowMs)) {
       const reason = `status ${opened.status}`;
       this.#fail(call, { kind: "unknown", cause: "status", reason });
       return;
     }
-    // An error of a service that makes calls may come from below.
+    // An error of a service that makes calls may come from further downstream.
     const isOwnFailure = isFailure && members.isLeaf(call.service);
-    this.#noteResult(call, isOwnFailure, nowMs);
+    this.#recordResult(call, isOwnFailure, nowMs);
     const body = new BodyCollector(opened.bodyBytes, opened.body);
     call.answer = { opened, body };
     this.#finishAnswer(call);
@@ -349,10 +379,10 @@
     call.onResult({ type: "Answered", status, headers, body: body.join() });
   }
 
-  #takeFailure(address: string, frame: CallFailed): void {
+  #receiveFailure(address: string, frame: CallFailed): void {
     const { members, readClock } = this.#options;
     members.noteLoad(address, frame.load, readClock());
-    const call = this.#find(address, frame.call);
+    const call = this.#findCurrent(address, frame.call);
     if (call === undefined) {
       return;
     }
@@ -364,7 +394,7 @@
     this.#fail(call, { kind, cause: RETRY_CAUSES[kind], reason });
   }
 
-  #takeLoad(address: string, frame: LoadReported): void {
+  #receiveLoad(address: string, frame: LoadReported): void {
     const { members, readClock, hearCallers } = this.#options;
     const nowMs = readClock();
     members.noteLoad(address, frame.load, nowMs);
@@ -380,12 +410,12 @@
     const nowMs = this.#options.readClock();
     const { member } = call.attempt!;
     if (kind === "unknown" || kind === "rejected") {
-      this.#noteResult(call, true, nowMs);
+      this.#recordResult(call, true, nowMs);
       call.handedOver += 1;
       call.mayHaveRun ||= kind === "unknown";
     }
     this.#releaseAttempt(call);
-    const step = this.#decide(call, kind, call.handedOver, nowMs);
+    const step = this.#decideNext(call, kind, call.handedOver, nowMs);
     switch (step.type) {
       case "TryElsewhere":
         this.#options.noteAttempt(call.service, cause);
@@ -416,8 +446,11 @@
     }
   }
 
-  /** Notes an answer, or its absence, at the member that the call is at. */
-  #noteResult(call: EntryCall, isFailure: boolean, nowMs: number): void {
+  /**
+   * Records the result of an attempt at its member, and logs if the member is
+   * excluded for it.
+   */
+  #recordResult(call: EntryCall, isFailure: boolean, nowMs: number): void {
     const { member } = call.attempt!;
     if (noteResult(member, isFailure, nowMs)) {
       this.#options.log.write({
@@ -433,7 +466,7 @@
     }
   }
 
-  #decide(
+  #decideNext(
     call: EntryCall,
     kind: CallFailed["kind"],
     handedOver: number,
@@ -484,7 +517,10 @@
     }
   }
 
-  /** `inputs` are what decided it beyond the call's own state. */
+  /**
+   * Ends a call without an answer. `inputs` are logged: the figures beyond the
+   * call's own state that led to this.
+   */
   #finish(
     call: EntryCall,
     failure: EntryFailure,
@@ -494,8 +530,8 @@
     const { readClock, log } = this.#options;
     this.#end(call);
     const nowMs = readClock();
-    const ended = { failure, reason, nowMs, inputs };
-    log.write(createUnansweredLine(call, ended));
+    const outcome = { failure, reason, nowMs, inputs };
+    log.write(createUnansweredLine(call, outcome));
     call.onResult({ type: "Failed", failure });
   }
 
@@ -516,9 +552,9 @@
     }
   }
 
-  /** An answer of a node that the call has left is passed over. */
-  #find(address: string, number: number): EntryCall | undefined {
-    const call = this.#calls.get(number);
+  /** Finds the call that is at a node now; frames of abandoned attempts find none. */
+  #findCurrent(address: string, callNumber: number): EntryCall | undefined {
+    const call = this.#calls.get(callNumber);
     return call?.attempt?.address === address ? call : undefined;
   }
 }
--- a/src/engine/relay/node/gate_calls.ts
+++ b/src/engine/relay/node/gate_calls.ts
@@ -1,4 +1,7 @@
-/** Carries out at the backend server's node what the gate decides. */
+/**
+ * Carries out the decisions of the admission gate: runs calls at the backend
+ * server beside this node, and answers or refuses them.
+ */
 import type {
   AnswerOpened,
   CallFailed,
@@ -35,59 +38,60 @@
 import { BackendClient } from "./backend_client.ts";
 import type { BackendHead, BackendResult } from "./backend_client.ts";
 
-/** What the gate's calls are built from. */
+/** What the gate's calls depend on. */
 export interface GateCallsOptions {
   readonly dialect: CallDialect;
+  /** Steady clock, in milliseconds. */
   readonly readClock: () => number;
   readonly log: RelayLog;
   readonly loop: CallLoop;
-  /** Most connections that the backend server takes. */
+  /** Returns the maximum number of connections to the backend server. */
   readonly maxConnections: () => number;
-  /** Latency within which an answer of a route has its full value. */
+  /** Returns the latency objective of a route, in milliseconds. */
   readonly getObjectiveMs: (route: string) => number;
-  /** A run begins (1) or ends (-1) at the backend server. */
+  /** Records that a run at the backend server begins (1) or ends (-1). */
   readonly noteRun: (run: BackendRun, change: 1 | -1) => void;
-  /** A call of a route came that began on a VM of a service. */
+  /** Records the arrival of a call that was made on a VM of a service. */
   readonly noteArrival: (route: string, callerService: string) => void;
-  /** The backend server refused connections: it may have ended. */
+  /** Called if the backend server refuses connections or was replaced. */
   readonly onBackendLost: () => void;
 }
 
-/** How long after its deadline a call without an answer is given up. */
+/** A call is failed this long after its deadline if it has no answer. */
 const ANSWER_GRACE_MS = 1_000;
 
-/** Calls of all callers for the one backend server beside this node. */
+/** Calls of all callers for the backend server beside this node. */
 export class GateCalls implements AsyncDisposable {
   readonly #options: GateCallsOptions;
   readonly #gate = createGate();
   readonly #calls = new GateCallIndex();
   readonly #loadLog = new GateLoadLog();
-  /** By link. */
+  /** Services on whose VMs the calls of each link begin, by link. */
   readonly #callerServices = new Map<string, string>();
   #client: BackendClient | undefined;
-  /** The last one that was announced, also where it is silent now. */
-  #lastBackend: LocalBackend | undefined;
+  /** The backend server last announced, kept while it is silent. */
+  #lastKnownBackend: LocalBackend | undefined;
   #nextId = 1;
-  /** Whether more frames of the present message follow. */
-  #isReading = false;
-  /** Calls of the present message whose bodies are whole. */
-  readonly #whole: GateCallState[] = [];
+  /** Whether more frames of the current message follow. */
+  #isReadingMessage = false;
+  /** Calls to admit once all frames of the current message are read. */
+  readonly #callsToAdmit: GateCallState[] = [];
 
   constructor(options: GateCallsOptions) {
     this.#options = options;
   }
 
-  /** Calls that are not ended. */
+  /** Number of calls that have not ended. */
   get openCount(): number {
     return this.#calls.size;
   }
 
-  /** The backend server as last announced. */
+  /** The backend server as last announced; undefined while it is silent. */
   get backend(): LocalBackend | undefined {
     return this.#gate.backend;
   }
 
-  /** Reads the load for those who choose. */
+  /** Returns the load that is reported to callers. */
   readLoad(): LoadFigures {
     return createLoad(this.#gate);
   }
@@ -97,21 +101,24 @@
     return this.#calls.hasAny(source);
   }
 
-  /** Takes what the backend server announces of itself. */
+  /**
+   * Updates the backend server from its announcement; undefined if it is silent.
+   * Fails the calls that ran in a former process instance.
+   */
   changeBackend(backend: LocalBackend | undefined): void {
-    const before = this.#gate.backend ?? this.#lastBackend;
-    this.#lastBackend = backend ?? before;
+    const before = this.#gate.backend ?? this.#lastKnownBackend;
+    this.#lastKnownBackend = backend ?? before;
     const isReplaced = before !== undefined && backend !== undefined &&
       before.address === backend.address && !isSameLife(before, backend);
-    const former = isReplaced ? this.#takeRunning() : [];
+    const aborted = isReplaced ? this.#abortRunning() : [];
     this.#step({ type: "BackendChanged", backend });
-    former.forEach((call) => this.#fail(call, "unknown", "backend_restarted"));
+    aborted.forEach((call) => this.#fail(call, "unknown", "backend_restarted"));
   }
 
-  /** Lets time pass at the gate. */
+  /** Advances the gate, fails overdue calls, and logs the load under pressure. */
   tick(): void {
     this.#step({ type: "Ticked" });
-    this.#endOverdue();
+    this.#failOverdue();
     const { log, readClock } = this.#options;
     const line = this.#loadLog.note(this.#gate, readClock());
     if (line !== undefined) {
@@ -120,26 +127,27 @@
   }
 
   /**
-   * Takes the frames of one message of a caller, which may have been on its way
-   * longer than usual. Nothing is handed over before all are read: where a
-   * process was behind, a call and its withdrawal come together.
+   * Receives the frames of one message from a caller. `delayMs` is how much
+   * longer than usual the message was in transit. No call is handed over before
+   * all frames are read: if a process lagged, a call and its cancellation come
+   * in the same message.
    */
   receiveAll(
     source: string,
     frames: readonly MeshFrame[],
-    way: { readonly send: SendFrame; readonly delayMs?: number },
+    link: { readonly send: SendFrame; readonly delayMs?: number },
   ): void {
-    this.#isReading = true;
+    this.#isReadingMessage = true;
     frames.forEach((frame) =>
-      this.receive(source, frame, way.send, way.delayMs)
+      this.receive(source, frame, link.send, link.delayMs)
     );
-    this.#isReading = false;
-    this.#whole.splice(0)
+    this.#isReadingMessage = false;
+    this.#callsToAdmit.splice(0)
       .filter(({ id }) => this.#calls.has(id))
       .forEach((call) => this.#admit(call));
   }
 
-  /** Takes a frame of a caller, which was on its way longer than usual. */
+  /** Receives one frame, in transit `delayMs` longer than usual. */
   receive(
     source: string,
     frame: MeshFrame,
@@ -148,13 +156,13 @@
   ): void {
     switch (frame.type) {
       case "CallOpened":
-        this.#open({ source, opened: frame, send, delayMs });
+        this.#openCall({ source, opened: frame, send, delayMs });
         return;
       case "BodyPart": {
         const call = this.#calls.find(source, frame.call);
         call?.body.add(frame.bytes);
         if (call?.phase === "receiving" && call.body.isComplete) {
-          this.#admitOnceRead(call);
+          this.#admitAfterMessage(call);
         }
         return;
       }
@@ -175,7 +183,7 @@
     }
   }
 
-  /** A link is gone: nobody waits for its calls any more. */
+  /** Cancels the calls of a lost link: nobody waits for their answers. */
   loseSource(source: string): void {
     for (const call of this.#calls.listOfLink(source)) {
       this.#cancel(call, "link lost");
@@ -189,13 +197,14 @@
   }
 
   /**
-   * A backend server that never answers must not keep its place for ever; it
-   * was told the deadline and has stopped work by then.
+   * Fails calls well past their deadlines, so that a backend server that
+   * never answers doesn't hold their slots forever. It was sent the deadline,
+   * and has stopped work by then.
    */
-  #endOverdue(): void {
-    const dueMs = this.#options.readClock() - ANSWER_GRACE_MS;
+  #failOverdue(): void {
+    const cutoffMs = this.#options.readClock() - ANSWER_GRACE_MS;
     for (const call of [...this.#calls.list()]) {
-      if (call.deadlineMs < dueMs) {
+      if (call.deadlineMs < cutoffMs) {
         call.exchange?.breakOff();
         this.#fail(call, "expired", "no answer at the deadline");
       }
@@ -203,11 +212,12 @@
   }
 
   /**
-   * Takes what runs off a backend server whose place another life has taken.
-   * It was lost with the former one, also where its connections only went
-   * silent: callers needn't wait for the deadline.
+   * Aborts and returns the running calls after a new process instance replaced
+   * the backend server at its address. Their runs ended with the former
+   * instance, even if its connections only went silent, so that callers needn't
+   * wait for the deadline.
    */
-  #takeRunning(): readonly GateCallState[] {
+  #abortRunning(): readonly GateCallState[] {
     const running = [...this.#calls.list()]
       .filter(({ phase }) => phase === "running");
     running.forEach((call) => call.exchange?.breakOff());
@@ -216,7 +226,7 @@
     return running;
   }
 
-  #open(arrival: {
+  #openCall(arrival: {
     readonly source: string;
     readonly opened: CallOpened;
     readonly send: SendFrame;
@@ -248,13 +258,13 @@
     } else if (this.#calls.isOverfull(opened.bodyBytes)) {
       this.#fail(call, "refused", "memory");
     } else if (call.body.isComplete) {
-      this.#admitOnceRead(call);
+      this.#admitAfterMessage(call);
     }
   }
 
-  #admitOnceRead(call: GateCallState): void {
-    if (this.#isReading) {
-      this.#whole.push(call);
+  #admitAfterMessage(call: GateCallState): void {
+    if (this.#isReadingMessage) {
+      this.#callsToAdmit.push(call);
     } else {
       this.#admit(call);
     }
@@ -291,7 +301,7 @@
     }
     switch (effect.type) {
       case "RunCall":
-        this.#runOnceRead(call);
+        this.#runAfterBacklogRead(call);
         return;
       case "RefuseCall":
         this.#fail(call, "refused", effect.reason, effect.retryAfterMs);
@@ -300,10 +310,11 @@
   }
 
   /**
-   * A process that is behind reads a call before its withdrawal, and would run
-   * it for a caller that has left.
+   * Runs an admitted call once the event loop has caught up. A process that lags
+   * reads a call before its cancellation, and would run it for a caller that has
+   * left.
    */
-  #runOnceRead(call: GateCallState): void {
+  #runAfterBacklogRead(call: GateCallState): void {
     call.phase = "admitted";
     this.#options.loop.runOnceRead(() => {
       if (this.#calls.has(call.id)) {
@@ -312,7 +323,7 @@
     });
   }
 
-  /** The backend server may have left, and the deadline passed, by now. */
+  /** Runs an admitted call, unless the backend server left or time ran out. */
   #runOrRefuse(call: GateCallState): void {
     const { backend } = this.#gate;
     if (backend === undefined) {
@@ -348,7 +359,7 @@
     });
   }
 
-  /** An answer that isn't this request's must not be read to its end. */
+  /** Returns why an answer belongs to another request; undefined if it doesn't. */
   #checkHead(head: BackendHead, requestId: string): string | undefined {
     const { status, headers } = head;
     const { judgeAnswer } = this.#options.dialect;
@@ -362,7 +373,7 @@
     }
     switch (result.type) {
       case "Whole":
-        this.#answer(call, result.head, result.body);
+        this.#sendAnswer(call, result.head, result.body);
         return;
       case "Withheld":
         this.#fail(call, "refused", result.reason);
@@ -377,7 +388,7 @@
     }
   }
 
-  #answer(call: GateCallState, head: BackendHead, body: Uint8Array): void {
+  #sendAnswer(call: GateCallState, head: BackendHead, body: Uint8Array): void {
     const { dialect, readClock } = this.#options;
     const { status, headers, rawHeaders } = head;
     const { requestId } = call.opened;
@@ -396,7 +407,7 @@
       case "Answered":
         break;
     }
-    // A backend server that fails at once is not a fast one.
+    // Failures may be immediate, and would lower the estimated service time.
     const isFailure = status >= 500;
     const serviceMs = isFailure ? undefined : readClock() - call.startedAtMs;
     this.#end(call, { serviceMs, isLost: false, isRejected: false });
@@ -421,8 +432,8 @@
     reason: string,
     retryAfterMs = computeRetryAfterMs(this.#gate),
   ): void {
-    // Refusing more would not help where the backend server rejects at will, or
-    // breaks off: time that runs out is what tells of too much work.
+    // Only expired calls indicate overload: refusing more calls doesn't help if
+    // the backend server rejects them for its own reasons or closes connections.
     const isRejected = kind === "rejected";
     const isLost = kind === "expired";
     this.#end(call, { serviceMs: undefined, isLost, isRejected });
@@ -442,9 +453,9 @@
   }
 
   /**
-   * Work that may be repeated stops with its caller. Work that may not is
-   * left to end, once it has begun: breaking it off would leave open whether it
-   * ran. A call that waits for a connection has not begun.
+   * Cancels a call whose caller has left. A non-idempotent call that has begun
+   * is left to end, because aborting it would leave unknown whether it ran. A
+   * call that waits for a connection has not begun.
    */
   #cancel(call: GateCallState, reason: string): void {
     const wasRunning = call.exchange?.hasBegun ?? false;
