--- a/src/daemon/relay_daemon.ts
+++ b/src/daemon/relay_daemon.ts
@@ -107,9 +107,9 @@
         loop: this.#loop,
         maxConnections: () => this.#control.announcement.connections,
         getObjectiveMs: (route) => this.#control.getObjectiveMs(route),
-        noteRun: (run, change) =>
+        recordRun: (run, change) =>
           this.#tree.noteRun(run, change, readSteadyMs()),
-        noteArrival: (route, service) =>
+        recordArrival: (route, service) =>
           this.#tree.noteArrival(route, service, readSteadyMs()),
         onBackendLost: () => this.#loseBackend(),
       }),
@@ -119,7 +119,7 @@
         onFrame: (address, frame) => this.#entry.receive(address, frame),
         onLost: (address, reason, wasOpen) => {
           log.write({ event: "LinkLost", isFailure: true, address, reason });
-          this.#entry.loseLink(address, reason, wasOpen);
+          this.#entry.handleLinkLoss(address, reason, wasOpen);
         },
         readClock,
         getService: () => this.#control.announcement.service,
@@ -133,16 +133,17 @@
       dataCentre,
       members: this.#members,
       budget,
-      path: this.#createPath(),
+      links: this.#createPath(),
       readClock,
       draw: Math.random,
       getLastRank: () => this.#lastRank,
       log,
       loop: this.#loop,
-      hearCallers: (address, report) =>
+      receiveCallerReport: (address, report) =>
         this.#tree.hear(address, report, readSteadyMs()),
-      noteAttempt: (service, cause) => metrics.countAttempt(service, cause),
-      noteEnded: (route, elapsedMs) => metrics.noteDuration(route, elapsedMs),
+      recordAttempt: (service, cause) => metrics.countAttempt(service, cause),
+      recordCallDuration: (route, elapsedMs) =>
+        metrics.noteDuration(route, elapsedMs),
     });
     this.#meshServer = this.#owned.use(this.#createMeshServer());
     this.#access = new KeyAccess({
@@ -157,13 +158,13 @@
     this.#callers = this.#owned.use(
       new CallerServer({
         workspaces: new WorkspaceCheck(this.#access, this.#quotas),
-        askProof: () => this.#control.askProof(),
+        requestProof: () => this.#control.askProof(),
         address: parseAddress(settings.callers)!,
         dialect,
         startCall: (request, service, onResult) =>
           this.#entry.start(request, service, onResult),
         observeCall: (call) => this.#tree.observe(call, readSteadyMs()),
-        noteConnection: () => {
+        onConnection: () => {
           this.#loop.noteAccepted();
           this.#firstRequests.noteAccepted();
         },
@@ -181,7 +182,7 @@
         log,
         access: this.#access,
         quotas: this.#quotas,
-        onTold: () => this.#callers.resumeUnsure(),
+        onTold: () => this.#callers.resumeProofWaiters(),
         onRoutes: (routes) => {
           const { workspaces = [] } = routes;
           this.#lastRank = countRanks(routes.routes.map(({ rank }) => rank)) *
@@ -374,8 +375,10 @@
       },
       isOpen: (address: string) =>
         address === own || this.#meshClient.isOpen(address),
-      getHeardAtMs: (address: string) =>
-        address === own ? undefined : this.#meshClient.getHeardAtMs(address),
+      getLastReceivedAtMs: (address: string) =>
+        address === own
+          ? undefined
+          : this.#meshClient.getLastReceivedAtMs(address),
       probe: (address: string) => {
         if (address !== own) {
           this.#meshClient.open(address);
@@ -394,9 +397,9 @@
           send: (answer) => this.#meshServer.send(link, answer),
           delayMs,
         }),
-      onClosed: (link) => this.#gate.loseSource(String(link)),
+      onClosed: (link) => this.#gate.handleLinkLoss(String(link)),
       hasCalls: (link) => this.#gate.hasCalls(String(link)),
-      reportMs: REPORT_MS,
+      reportIntervalMs: REPORT_MS,
       createReport: () =>
         this.#tree.createNews(this.#gate.readLoad(), readSteadyMs()),
       readClock: readSteadyMs,
--- a/src/daemon/relay_tree.ts
+++ b/src/daemon/relay_tree.ts
@@ -8,9 +8,9 @@
 import { CoincidenceCounter } from "../engine/admission/common/coincidence.ts";
 import type {
   CallerReport,
+  DownstreamPressure,
   LoadFigures,
   LoadReported,
-  PressureBelow,
 } from "../engine/mesh/common/frames.ts";
 import type { MemberTable } from "../engine/relay/common/member_table.ts";
 import { RepeatedRuns } from "../engine/relay/common/repeated_runs.ts";
@@ -106,7 +106,7 @@
   }
 
   /** Lists the pressure below each route whose requests make calls here. */
-  #listBelow(nowMs: number): readonly PressureBelow[] {
+  #listBelow(nowMs: number): readonly DownstreamPressure[] {
     const { members } = this.#options;
     return this.#tree.listEdges(nowMs).map(([parent, callees]) => {
       const ways = callees.map(({ service, route }) =>
--- a/src/engine/mesh/common/frames.ts
+++ b/src/engine/mesh/common/frames.ts
@@ -106,13 +106,13 @@
   readonly type: "LoadReported";
   readonly load: LoadFigures;
   /** One for each route that makes calls; undefined if unchanged. */
-  readonly below: readonly PressureBelow[] | undefined;
+  readonly below: readonly DownstreamPressure[] | undefined;
   /** The services that call this one; empty if there is nothing new. */
   readonly callers: CallerReport;
 }
 
 /** Pressure in the downstream services that requests of a route call. */
-export type PressureBelow = readonly [
+export type DownstreamPressure = readonly [
   route: string,
   pressure: number,
   /** Time since the gate under pressure reported it, in milliseconds. */
--- a/src/engine/mesh/node/mesh_client.ts
+++ b/src/engine/mesh/node/mesh_client.ts
@@ -82,7 +82,7 @@
   }
 
   /** Returns when the last message was received; undefined without a link. */
-  getHeardAtMs(address: string): number | undefined {
+  getLastReceivedAtMs(address: string): number | undefined {
     return this.#links.get(address)?.lastReceivedAtMs;
   }
 
--- a/src/engine/mesh/node/mesh_server.ts
+++ b/src/engine/mesh/node/mesh_server.ts
@@ -27,7 +27,7 @@
   /** Whether calls of a link are in progress, which keep the reports going. */
   readonly hasCalls: (link: number) => boolean;
   /** Interval of load reports on links in use, in milliseconds. */
-  readonly reportMs: number;
+  readonly reportIntervalMs: number;
   /** Creates the next report, sent on all links in use. */
   readonly createReport: () => LoadReported;
   /** Steady clock, in milliseconds. */
@@ -70,8 +70,8 @@
   /** Opens the listener, and starts the periodic reports. */
   async open(): Promise<void> {
     await listen(this.#http, this.#options.address);
-    const { reportMs } = this.#options;
-    this.#stopReports = startTicks(reportMs, () => this.report());
+    const { reportIntervalMs } = this.#options;
+    this.#stopReports = startTicks(reportIntervalMs, () => this.report());
   }
 
   /** Sends a frame; ignored on a closed link, and closes a congested one. */
--- a/src/engine/mesh/test/mesh_link_test.ts
+++ b/src/engine/mesh/test/mesh_link_test.ts
@@ -56,7 +56,7 @@
       },
       onClosed: () => {},
       hasCalls: () => true,
-      reportMs: NEVER_MS,
+      reportIntervalMs: NEVER_MS,
       createReport: () => ({
         type: "LoadReported",
         load: LOAD,
--- a/src/engine/relay/common/member_table.ts
+++ b/src/engine/relay/common/member_table.ts
@@ -1,5 +1,8 @@
 /** The backend servers that a node may choose from, and their loads. */
-import type { LoadFigures, PressureBelow } from "../../mesh/common/frames.ts";
+import type {
+  DownstreamPressure,
+  LoadFigures,
+} from "../../mesh/common/frames.ts";
 import type { Announcement } from "../../membership/common/announcement.ts";
 import { renewMember } from "./member.ts";
 import type { BelowMember, Member } from "./member.ts";
@@ -116,7 +119,7 @@
   /** Takes the pressure that a member says is below its routes. */
   noteBelow(
     address: string,
-    below: readonly PressureBelow[],
+    below: readonly DownstreamPressure[],
     nowMs: number,
   ): void {
     const told = below.map(([route, pressure, ageMs]) => ({
--- a/src/engine/relay/node/caller_server.ts
+++ b/src/engine/relay/node/caller_server.ts
@@ -44,7 +44,7 @@
    * Asks the control replicas for a proof that the workspace keys held here are
    * the current ones.
    */
-  readonly askProof: () => void;
+  readonly requestProof: () => void;
   /**
    * Records a call; returns whether a run of the local backend server made it,
    * and how likely that run is a repeat.
@@ -56,7 +56,7 @@
   /** Returns the service whose backend server runs on this VM. */
   readonly getCallerService: () => string;
   /** Called when a connection was accepted; more may be in the accept queue. */
-  readonly noteConnection: () => void;
+  readonly onConnection: () => void;
   readonly firstRequests: FirstRequestQueue;
   /** Steady clock, in milliseconds. */
   readonly readClock: () => number;
@@ -121,7 +121,7 @@
       { maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0 },
       (request, response) => this.#acceptRequest(request, response),
     );
-    this.#server.on("connection", options.noteConnection);
+    this.#server.on("connection", options.onConnection);
     this.#server.on(
       "clientError",
       (_error, socket) => this.#rejectMalformed(socket),
@@ -148,7 +148,7 @@
   }
 
   /** Rechecks the requests that wait for the control replicas. */
-  resumeUnsure(): void {
+  resumeProofWaiters(): void {
     this.#proofWaiters.takeAll().forEach((exchange) => this.#resume(exchange));
   }
 
@@ -161,7 +161,7 @@
       .forEach((exchange) => this.#refuseEarly(exchange, "not told in time"));
     if (!this.#proofWaiters.isEmpty) {
       // The last proof may have been requested before these requests arrived.
-      this.#options.askProof();
+      this.#options.requestProof();
     }
   }
 
@@ -357,7 +357,7 @@
       case "Entered":
         return true;
       case "Waiting":
-        this.#options.askProof();
+        this.#options.requestProof();
         this.#enqueueWaiter(this.#proofWaiters, exchange, checked.reason);
         return false;
       case "Refused":
@@ -377,7 +377,7 @@
         this.#replies.replyRetryLater(exchange, 429, refusal.retryAfterMs);
         return;
       case "LeaseLapsed":
-        this.#options.askProof();
+        this.#options.requestProof();
         this.#replies.replyRetryLater(exchange, 503, refusal.retryAfterMs);
         return;
     }
--- a/src/engine/relay/node/entry_calls.ts
+++ b/src/engine/relay/node/entry_calls.ts
@@ -63,7 +63,7 @@
    * Returns when the last message was received on a link; undefined without a
    * link and for this node's own address.
    */
-  readonly getHeardAtMs: (address: string) => number | undefined;
+  readonly getLastReceivedAtMs: (address: string) => number | undefined;
   /** Opens a link without a call, so that the node's reports are received. */
   readonly probe: (address: string) => void;
   /** Closes a link as lost. */
@@ -76,7 +76,7 @@
   readonly dataCentre: string;
   readonly members: MemberTable;
   readonly budget: BudgetTerms;
-  readonly path: MeshLinks;
+  readonly links: MeshLinks;
   /** Steady clock, in milliseconds. */
   readonly readClock: () => number;
   /** Returns a random number from 0 to 1. */
@@ -86,11 +86,14 @@
   readonly log: RelayLog;
   readonly loop: CallLoop;
   /** Receives the report of a gate about the services that call it. */
-  readonly hearCallers: (address: string, report: CallerReport) => void;
+  readonly receiveCallerReport: (address: string, report: CallerReport) => void;
   /** Counts an attempt at a call of a service: the first, or a retry. */
-  readonly noteAttempt: (service: string, cause: "first" | RetryCause) => void;
+  readonly recordAttempt: (
+    service: string,
+    cause: "first" | RetryCause,
+  ) => void;
   /** Records the time from a call's arrival to its end, in milliseconds. */
-  readonly noteEnded: (route: string, elapsedMs: number) => void;
+  readonly recordCallDuration: (route: string, elapsedMs: number) => void;
 }
 
 /** Why an attempt failed. */
@@ -165,7 +168,7 @@
       return () => {};
     }
     this.#budget.noteFirst(createBudgeted(call), request.arrivedAtMs);
-    this.#options.noteAttempt(service, "first");
+    this.#options.recordAttempt(service, "first");
     this.#send(call);
     return () => this.#withdraw(call);
   }
@@ -201,7 +204,7 @@
    * Fails the attempts on a lost link. They may have run, unless the link never
    * opened.
    */
-  loseLink(address: string, reason: string, wasOpen: boolean): void {
+  handleLinkLoss(address: string, reason: string, wasOpen: boolean): void {
     this.#options.members.suspect(address, this.#options.readClock());
     const failure: AttemptFailure = wasOpen
       ? { kind: "unknown", cause: "link_lost", reason }
@@ -216,12 +219,16 @@
    * suspect members that are due.
    */
   tick(): void {
-    const { members, path, readClock } = this.#options;
-    const { getHeardAtMs } = path;
+    const { members, links, readClock } = this.#options;
+    const { getLastReceivedAtMs } = links;
     const nowMs = readClock();
     const silentAddresses = new Set<string>();
     for (const call of [...this.#calls.values()]) {
-      const silenceMs = measureCallSilence(call.attempt, getHeardAtMs, nowMs);
+      const silenceMs = measureCallSilence(
+        call.attempt,
+        getLastReceivedAtMs,
+        nowMs,
+      );
       if (nowMs >= call.request.deadlineMs) {
         this.#cancelAttempt(call);
         this.#finish(call, { type: "Expired" }, "time limit", { silenceMs });
@@ -235,8 +242,8 @@
       }
     }
     this.#resumeMemberWaiters();
-    silentAddresses.forEach((address) => path.drop(address, "silent"));
-    members.takeDueProbes(nowMs).forEach((address) => path.probe(address));
+    silentAddresses.forEach((address) => links.drop(address, "silent"));
+    members.takeDueProbes(nowMs).forEach((address) => links.probe(address));
   }
 
   /**
@@ -297,7 +304,7 @@
   }
 
   #sendNow(call: EntryCall): void {
-    const { members, dataCentre, readClock, draw, path } = this.#options;
+    const { members, dataCentre, readClock, draw, links } = this.#options;
     const nowMs = readClock();
     const member = members.choose(call.service, {
       dataCentre,
@@ -306,7 +313,7 @@
       draw: draw(),
       canProbe: call.request.route.isIdempotent && !call.request.isNested,
       isSilent: (candidate) =>
-        isMemberSilent(candidate, path.getHeardAtMs, nowMs),
+        isMemberSilent(candidate, links.getLastReceivedAtMs, nowMs),
     });
     if (member === undefined) {
       this.#waitForMember(call, nowMs);
@@ -319,9 +326,9 @@
     call.tried.add(address);
     call.attempt = { member, address, call: call.id, sentAtMs: nowMs };
     const { body } = call.request;
-    path.send(address, createOpening(call));
+    links.send(address, createOpening(call));
     for (const bytes of listFurtherParts(body)) {
-      path.send(address, { type: "BodyPart", call: call.id, bytes });
+      links.send(address, { type: "BodyPart", call: call.id, bytes });
     }
   }
 
@@ -395,14 +402,14 @@
   }
 
   #receiveLoad(address: string, frame: LoadReported): void {
-    const { members, readClock, hearCallers } = this.#options;
+    const { members, readClock, receiveCallerReport } = this.#options;
     const nowMs = readClock();
     members.noteLoad(address, frame.load, nowMs);
     if (frame.below !== undefined) {
       members.noteBelow(address, frame.below, nowMs);
     }
     if (frame.callers.length > 0) {
-      hearCallers(address, frame.callers);
+      receiveCallerReport(address, frame.callers);
     }
   }
 
@@ -418,7 +425,7 @@
     const step = this.#decideNext(call, kind, call.handedOver, nowMs);
     switch (step.type) {
       case "TryElsewhere":
-        this.#options.noteAttempt(call.service, cause);
+        this.#options.recordAttempt(call.service, cause);
         this.#options.log.write(createMovedLine(call, {
           from: member.announcement.ingress,
           kind,
@@ -503,9 +510,9 @@
   }
 
   #logWithdrawn(call: EntryCall): void {
-    const { log, path, readClock, loop } = this.#options;
+    const { log, links, readClock, loop } = this.#options;
     const isLinkOpen = call.attempt !== undefined &&
-      path.isOpen(call.attempt.address);
+      links.isOpen(call.attempt.address);
     const inputs = { nowMs: readClock(), isLinkOpen, lagMs: loop.lagMs };
     log.write(createWithdrawnLine(call, inputs));
   }
@@ -513,7 +520,7 @@
   #cancelAttempt(call: EntryCall): void {
     const { attempt } = call;
     if (attempt !== undefined) {
-      this.#options.path.withdraw(attempt.address, call.id);
+      this.#options.links.withdraw(attempt.address, call.id);
     }
   }
 
@@ -538,9 +545,9 @@
   #end(call: EntryCall): void {
     this.#releaseAttempt(call);
     this.#calls.delete(call.id);
-    const { noteEnded, readClock } = this.#options;
+    const { recordCallDuration, readClock } = this.#options;
     const { route, arrivedAtMs } = call.request;
-    noteEnded(route.name, readClock() - arrivedAtMs);
+    recordCallDuration(route.name, readClock() - arrivedAtMs);
   }
 
   #releaseAttempt(call: EntryCall): void {
--- a/src/engine/relay/node/gate_calls.ts
+++ b/src/engine/relay/node/gate_calls.ts
@@ -50,9 +50,9 @@
   /** Returns the latency objective of a route, in milliseconds. */
   readonly getObjectiveMs: (route: string) => number;
   /** Records that a run at the backend server begins (1) or ends (-1). */
-  readonly noteRun: (run: BackendRun, change: 1 | -1) => void;
+  readonly recordRun: (run: BackendRun, change: 1 | -1) => void;
   /** Records the arrival of a call that was made on a VM of a service. */
-  readonly noteArrival: (route: string, callerService: string) => void;
+  readonly recordArrival: (route: string, callerService: string) => void;
   /** Called if the backend server refuses connections or was replaced. */
   readonly onBackendLost: () => void;
 }
@@ -184,7 +184,7 @@
   }
 
   /** Cancels the calls of a lost link: nobody waits for their answers. */
-  loseSource(source: string): void {
+  handleLinkLoss(source: string): void {
     for (const call of this.#calls.listOfLink(source)) {
       this.#cancel(call, "link lost");
     }
@@ -250,7 +250,7 @@
     this.#calls.add(call);
     const callerService = this.#callerServices.get(source);
     if (callerService !== undefined) {
-      this.#options.noteArrival(opened.route, callerService);
+      this.#options.recordArrival(opened.route, callerService);
     }
     const service = this.#gate.backend?.service;
     if (service !== undefined && service !== opened.service) {
@@ -342,7 +342,7 @@
     const nowMs = readClock();
     call.phase = "running";
     call.startedAtMs = nowMs;
-    this.#options.noteRun(call.opened, 1);
+    this.#options.recordRun(call.opened, 1);
     const { method, target, requestId } = call.opened;
     log.write(createHandedOverLine(call, { nowMs, lagMs: loop.lagMs }));
     const headers = dialect.createBackendHeaders({
@@ -484,7 +484,7 @@
     const { id, phase, opened } = call;
     this.#calls.remove(call);
     if (phase === "running") {
-      this.#options.noteRun(opened, -1);
+      this.#options.recordRun(opened, -1);
     }
     if (phase === "running" || phase === "admitted") {
       this.#step({ type: "CallEnded", id, route: opened.route, ...ended });
--- a/src/engine/relay/test/caller_left_test.ts
+++ b/src/engine/relay/test/caller_left_test.ts
@@ -78,7 +78,7 @@
       onFrames: (_link, frames) => this.received.push(...frames),
       onClosed: () => {},
       hasCalls: () => true,
-      reportMs: NEVER_MS,
+      reportIntervalMs: NEVER_MS,
       createReport: () => ({
         type: "LoadReported",
         load: LOAD,
@@ -100,11 +100,11 @@
       dataCentre: "a",
       members,
       budget: { ratio: 0.2, slack: 1_000, windowS: 10 },
-      path: {
+      links: {
         send: (to, frame) => this.#client.send(to, frame),
         withdraw: (to, call) => this.#client.withdraw(to, call),
         isOpen: (to) => this.#client.isOpen(to),
-        getHeardAtMs: (to) => this.#client.getHeardAtMs(to),
+        getLastReceivedAtMs: (to) => this.#client.getLastReceivedAtMs(to),
         probe: () => {},
         drop: () => {},
       },
@@ -113,9 +113,9 @@
       getLastRank: () => 0,
       log: { write: () => {} },
       loop: { lagMs: 0, runOnceRead: (run) => run() },
-      hearCallers: () => {},
-      noteAttempt: () => {},
-      noteEnded: () => {},
+      receiveCallerReport: () => {},
+      recordAttempt: () => {},
+      recordCallDuration: () => {},
     });
   }
 
--- a/src/engine/relay/test/caller_server_test.ts
+++ b/src/engine/relay/test/caller_server_test.ts
@@ -127,9 +127,9 @@
         return () => this.withdrawn.push(number);
       },
       workspaces: this.workspaces,
-      askProof: () => {},
+      requestProof: () => {},
       observeCall: () => ({ isNested: this.isNested, repeatShare: 0 }),
-      noteConnection: () => {},
+      onConnection: () => {},
       firstRequests: {
         queuedMs: 0,
         hold: (run) => this.isHolding ? this.held.push(run) : run(),
--- a/src/engine/relay/test/entry_calls_test.ts
+++ b/src/engine/relay/test/entry_calls_test.ts
@@ -15,7 +15,7 @@
   readonly sent: (readonly [string, MeshFrame])[] = [];
   readonly probed: string[] = [];
   readonly results: EntryResult[] = [];
-  readonly heardAtMs = new Map<string, number>();
+  readonly lastReceivedAtMs = new Map<string, number>();
   readonly calls: EntryCalls;
   readonly members = new MemberTable();
 
@@ -26,22 +26,22 @@
       dataCentre: "a",
       members,
       budget: { ratio: 0.2, slack: 1_000, windowS: 10 },
-      path: {
+      links: {
         send: (address, frame) => {
-          this.heardAtMs.set(
+          this.lastReceivedAtMs.set(
             address,
-            this.heardAtMs.get(address) ?? this.nowMs,
+            this.lastReceivedAtMs.get(address) ?? this.nowMs,
           );
           this.sent.push([address, frame]);
         },
         withdraw: (address, call) =>
           this.sent.push([address, { type: "CallCancelled", call }]),
         isOpen: () => true,
-        getHeardAtMs: (address) => this.heardAtMs.get(address),
+        getLastReceivedAtMs: (address) => this.lastReceivedAtMs.get(address),
         probe: (address) => this.probed.push(address),
         drop: (address, reason) => {
-          this.heardAtMs.delete(address);
-          this.calls.loseLink(address, reason, true);
+          this.lastReceivedAtMs.delete(address);
+          this.calls.handleLinkLoss(address, reason, true);
         },
       },
       readClock: () => this.nowMs,
@@ -49,9 +49,9 @@
       getLastRank: () => 0,
       log: { write: () => {} },
       loop: { lagMs: 0, runOnceRead: (run) => run() },
-      hearCallers: () => {},
-      noteAttempt: () => {},
-      noteEnded: () => {},
+      receiveCallerReport: () => {},
+      recordAttempt: () => {},
+      recordCallDuration: () => {},
     });
     // Whole windows of the budget after the start.
     this.nowMs = 10_000;
@@ -76,7 +76,7 @@
   }
 
   hear(address: string): void {
-    this.heardAtMs.set(address, this.nowMs);
+    this.lastReceivedAtMs.set(address, this.nowMs);
     const report = {
       type: "LoadReported",
       load: LOAD,
@@ -147,7 +147,7 @@
 
   it("is probed without a call, and gets calls once it is heard", () => {
     const entry = new Entry("a:1", "b:1");
-    entry.calls.loseLink("a:1", "closed", true);
+    entry.calls.handleLinkLoss("a:1", "closed", true);
     entry.start();
     expect(entry.listOpenings()).to.deep.equal(["b:1"]);
     entry.pass(400, "b:1");
@@ -272,7 +272,7 @@
     const entry = new Entry("a:1", "b:1");
     entry.start({ route: { ...ROUTE, isIdempotent: false } });
     const [first] = entry.listOpenings();
-    entry.calls.loseLink(first!, "connect timeout", false);
+    entry.calls.handleLinkLoss(first!, "connect timeout", false);
     expect(entry.listOpenings()).to.have.length(2);
     expect(entry.results).to.deep.equal([]);
   });
--- a/src/engine/relay/test/gate_calls_test.ts
+++ b/src/engine/relay/test/gate_calls_test.ts
@@ -12,7 +12,7 @@
 function openGate(
   port: number,
   readClock = () => 1_000,
-  noteRun: GateCallsOptions["noteRun"] = () => {},
+  recordRun: GateCallsOptions["recordRun"] = () => {},
 ): GateCalls {
   const gate = new GateCalls({
     dialect: DIALECT,
@@ -21,8 +21,8 @@
     loop: { lagMs: 0, runOnceRead: (run) => run() },
     maxConnections: () => 4,
     getObjectiveMs: () => 500,
-    noteRun,
-    noteArrival: () => {},
+    recordRun,
+    recordArrival: () => {},
     onBackendLost: () => {},
   });
   gate.changeBackend(createBackend(port));
@@ -40,7 +40,7 @@
     }
     expect(frames.map((frame) => "reason" in frame && frame.reason))
       .to.deep.equal(["memory", "memory"]);
-    gate.loseSource("1");
+    gate.handleLinkLoss("1");
     gate.receive("2", createCall(4, { bodyBytes }), send);
     expect(frames).to.have.length(2);
   });
@@ -96,8 +96,8 @@
 describe("calls of one message", () => {
   it("are handed over only once all of it is read", async () => {
     const runs: string[] = [];
-    const noteRun = ({ route }: BackendRun) => runs.push(route);
-    await using gate = openGate(9, () => 1_000, noteRun);
+    const recordRun = ({ route }: BackendRun) => runs.push(route);
+    await using gate = openGate(9, () => 1_000, recordRun);
     const left = createCall(1, { route: "left" });
     const kept = createCall(2, { route: "kept" });
     const cancelled = { type: "CallCancelled", call: 1 } as const;
--- a/src/engine/relay/test/gate_left_test.ts
+++ b/src/engine/relay/test/gate_left_test.ts
@@ -68,8 +68,8 @@
     loop: { lagMs: 0, runOnceRead: (run) => run() },
     maxConnections: () => 1,
     getObjectiveMs: () => 500,
-    noteRun: () => {},
-    noteArrival: () => {},
+    recordRun: () => {},
+    recordArrival: () => {},
     onBackendLost: () => {},
   });
 
--- a/src/engine/relay/test/lost_answers_test.ts
+++ b/src/engine/relay/test/lost_answers_test.ts
@@ -66,8 +66,8 @@
     loop: { lagMs: 0, runOnceRead: (run) => run() },
     maxConnections: () => SLOTS,
     getObjectiveMs: () => PATIENCE_MS,
-    noteRun: () => {},
-    noteArrival: () => {},
+    recordRun: () => {},
+    recordArrival: () => {},
     onBackendLost: () => {},
   });
   gate.changeBackend({ ...createBackend(port), slots: SLOTS });
