--- a/src/engine/mesh/test/mesh_link_test.ts
+++ b/src/engine/mesh/test/mesh_link_test.ts
@@ -6,7 +6,7 @@
 import { MeshClient } from "../node/mesh_client.ts";
 import { MeshServer } from "../node/mesh_server.ts";
 
-/** Reports are sent where a test asks for them. */
+/** No periodic reports: tests call `report`. */
 const NEVER_MS = 3_600_000;
 const CALL: CallOpened = {
   type: "CallOpened",
@@ -27,18 +27,18 @@
 };
 const LOAD = { running: 1, queued: 0, limit: 4, pressure: 0, serviceMs: 0 };
 
-/** A server with one client; both keep the frames that they get. */
+/** A server with one client; both collect the frames received. */
 class Link implements AsyncDisposable {
   readonly atClient: MeshFrame[] = [];
   readonly atServer: MeshFrame[] = [];
   readonly lost: (readonly [string, boolean])[] = [];
   below: LoadReported["below"] = [];
   readonly address: string;
-  /** Services that were said on links. */
+  /** Services that the client named, in order. */
   readonly introduced: string[] = [];
   readonly server: MeshServer;
   readonly client: MeshClient;
-  /** The server's clock is ahead by so much. */
+  /** How far the server's clock is ahead of the client's. */
   aheadMs = 0;
 
   constructor(port: number) {
@@ -116,7 +116,7 @@
     await waitUntil(() => link.countReports() === 2);
   });
 
-  it("needs no report after answers, which say the load", async () => {
+  it("needs no report after answers, which carry the load", async () => {
     await using link = await Link.open();
     await waitUntil(() => link.client.isOpen(link.address));
     link.answer();
@@ -129,7 +129,7 @@
     await waitUntil(() => link.countReports() === 1);
   });
 
-  it("is reported on beside answers where calls are made below", async () => {
+  it("is reported on in spite of answers if there are downstream calls", async () => {
     await using link = await Link.open();
     await waitUntil(() => link.client.isOpen(link.address));
     link.below = [["lookup", 0.5, 20]];
@@ -139,7 +139,7 @@
     expect(link.atClient[1]).to.have.deep.property("below", link.below);
   });
 
-  it("says first whose VM its calls begin on, and again at a change", async () => {
+  it("names the service of its callers first, and again after a change", async () => {
     await using link = await Link.open();
     await waitUntil(() => link.introduced.length === 1);
     link.client.introduce();
@@ -147,18 +147,18 @@
     expect(link.introduced).to.deep.equal(["front", "front"]);
   });
 
-  it("says whether it was ever open when it is lost", async () => {
+  it("reports whether it was ever open when it is lost", async () => {
     await using link = await Link.open();
     await waitUntil(() => link.client.isOpen(link.address));
     link.client.drop(link.address, "silent");
     expect(link.lost).to.deep.equal([["silent", true]]);
-    const nowhere = `127.0.0.1:${await findPort()}`;
-    link.client.open(nowhere);
+    const unusedAddress = `127.0.0.1:${await findPort()}`;
+    link.client.open(unusedAddress);
     await waitUntil(() => link.lost.length === 2);
     expect(link.lost[1]![1]).to.equal(false);
   });
 
-  it("dates the calls of a late message by when it would have come", async () => {
+  it("computes deadlines from when a late message should have arrived", async () => {
     await using link = await Link.open();
     const send = (call: number) => {
       const deadlineMs = performance.now() + 130;
@@ -172,19 +172,20 @@
     await waitUntil(() => link.atServer.length === 1);
     const [late] = link.atServer;
     const lateByMs = (late as CallOpened).deadlineMs - deadlineMs;
-    expect(Math.abs(lateByMs), "beside the caller's own").to.be.below(100);
+    expect(Math.abs(lateByMs), "difference to the caller's deadline, in ms").to
+      .be.below(100);
   });
 
-  it("carries frames in order, bodies as they were", async () => {
+  it("carries frames in order, with unchanged bodies", async () => {
     await using link = await Link.open();
     const parts = [1, 2, 3].map((n) => new Uint8Array([n, 0, 255]));
     for (const bytes of parts) {
       link.client.send(link.address, { type: "BodyPart", call: 9, bytes });
     }
     await waitUntil(() => link.atServer.length === 3);
-    const found = link.atServer.map((frame) =>
+    const bodies = link.atServer.map((frame) =>
       frame.type === "BodyPart" ? [...frame.bytes] : []
     );
-    expect(found).to.deep.equal(parts.map((part) => [...part]));
+    expect(bodies).to.deep.equal(parts.map((part) => [...part]));
   });
 });
--- a/src/engine/mesh/test/transit_delay_test.ts
+++ b/src/engine/mesh/test/transit_delay_test.ts
@@ -1,21 +1,21 @@
-/** Delays of messages between two clocks that share no beginning. */
+/** Delays of messages between clocks with different zeros. */
 import { expect } from "chai";
 import { TransitDelay } from "../common/transit_delay.ts";
 
 const OFFSET_MS = 123_456;
 
 describe("the delay of a message", () => {
-  it("is what lies above the usual way", () => {
+  it("is the excess over the usual transit time", () => {
     const delay = new TransitDelay();
-    const measure = (sentAtMs: number, onWayMs: number) =>
-      delay.measure(sentAtMs + OFFSET_MS, sentAtMs + onWayMs);
+    const measure = (sentAtMs: number, transitMs: number) =>
+      delay.measure(sentAtMs + OFFSET_MS, sentAtMs + transitMs);
     expect(measure(0, 2)).to.equal(0);
     expect(measure(10, 3)).to.equal(1);
     expect(measure(20, 602)).to.equal(600);
     expect(measure(640, 2)).to.equal(0);
   });
 
-  it("is still seen where the receiver has been behind for half a second", () => {
+  it("is still measured if the receiver has lagged for half a second", () => {
     const delay = new TransitDelay();
     for (let sentAtMs = 0; sentAtMs < 900; sentAtMs += 10) {
       delay.measure(sentAtMs, sentAtMs + 2);
@@ -24,7 +24,7 @@
     expect(delay.measure(1_000, 1_600)).to.equal(598);
   });
 
-  it("is forgotten within seconds where a clock stood still", () => {
+  it("is reset within seconds after a clock stopped", () => {
     const delay = new TransitDelay();
     for (let sentAtMs = 0; sentAtMs < 2_000; sentAtMs += 10) {
       delay.measure(sentAtMs, sentAtMs + 2);
--- a/src/engine/relay/test/backend_client_test.ts
+++ b/src/engine/relay/test/backend_client_test.ts
@@ -1,4 +1,4 @@
-/** Answers of a backend server that breaks off, spoils or adds to them. */
+/** Answers that the backend server cuts, malforms or extends. */
 import { createServer } from "node:net";
 import type { AddressInfo, Server, Socket } from "node:net";
 import { expect } from "chai";
@@ -8,7 +8,7 @@
 describe("an answer of the backend server", () => {
   let server: Server;
   let client: BackendClient;
-  /** What the server does with a request. */
+  /** How the server answers a request. */
   let answer: (socket: Socket) => void;
 
   beforeEach(async () => {
@@ -76,13 +76,13 @@
     }
   });
 
-  it("in chunks is cut when its connection ends amid them", async () => {
+  it("in chunks is cut when its connection ends between them", async () => {
     answer = (socket) =>
       socket.end(`${HEAD}Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n`);
     expect(describeResult(await send())).to.equal("Broken");
   });
 
-  it("in chunks is whole with the last one", async () => {
+  it("in chunks is whole after the last chunk", async () => {
     answer = (socket) =>
       socket.end(
         `${HEAD}Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n0\r\n\r\n`,
@@ -95,12 +95,12 @@
     expect(describeResult(await send())).to.equal("Broken");
   });
 
-  it("that is none is broken", async () => {
+  it("that is not HTTP is broken", async () => {
     answer = (socket) => socket.end("not HTTP at all\r\n\r\n");
     expect(describeResult(await send())).to.equal("Broken");
   });
 
-  it("is never followed by bytes that count for another request", async () => {
+  it("is never followed by bytes that are read as another answer", async () => {
     const text = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n";
     answer = (socket) => socket.write(`${text}oneEXTRA`);
     expect(describeResult(await send())).to.equal("whole one");
@@ -108,7 +108,7 @@
     expect(describeResult(await send())).to.equal("whole two");
   });
 
-  it("is known not to be asked for where nobody listens", async () => {
+  it("is known not to have been requested if no server listens", async () => {
     const unused = new BackendClient("127.0.0.1:1", 1);
     const result = await new Promise<BackendResult>((onEnd) =>
       unused.send({
--- a/src/engine/relay/test/caller_left_test.ts
+++ b/src/engine/relay/test/caller_left_test.ts
@@ -1,12 +1,10 @@
 /**
- * Callers left while the link to the backend server's node was being opened,
- * and their calls were run half a second later all the same. A withdrawal was
- * sent on open links only, so it was lost; the call stayed in the link's queue
- * with the time left that it had when it was put there, and went out whole once
- * the link opened. Seen as a run 551 ms after a caller with 133 ms of patience
- * had closed, which ended after 14 ms without having been cut. What settled it:
- * with a link held for 300 ms a call of 5,000 ms came with 5,000 ms left, and a
- * call that was withdrawn after 20 ms came with all parts of its body.
+ * Guards against running calls whose callers left while the link to the backend
+ * server's node was being opened. A cancellation that is sent on open links only
+ * is lost then: the call stays in the link's queue, and is sent with its complete
+ * body once the link opens. If its remaining time is computed when it is queued
+ * rather than when it is sent, its deadline is late as well: a call of a caller
+ * that waited 133 ms ran 551 ms after the caller had closed.
  */
 import { connect, createServer } from "node:net";
 import type { Server, Socket } from "node:net";
@@ -23,16 +21,17 @@
 
 const NEVER_MS = 3_600_000;
 const LOAD = { running: 0, queued: 0, limit: 10, pressure: 0, serviceMs: 0 };
+/** How long the link is kept from opening. */
 const HELD_MS = 300;
 
-/** Passes bytes on, once it is told to. */
-class HeldWay implements AsyncDisposable {
+/** Proxy that forwards connections and bytes only after `release`. */
+class HeldProxy implements AsyncDisposable {
   readonly #server: Server;
   readonly #held: Socket[] = [];
-  readonly #to: number;
+  readonly #targetPort: number;
 
-  constructor(to: number) {
-    this.#to = to;
+  constructor(targetPort: number) {
+    this.#targetPort = targetPort;
     this.#server = createServer({ pauseOnConnect: true }, (socket) => {
       socket.on("error", () => {});
       this.#held.push(socket);
@@ -47,9 +46,9 @@
 
   release(): void {
     for (const socket of this.#held) {
-      const onward = connect(this.#to, "127.0.0.1");
-      onward.on("error", () => {});
-      socket.pipe(onward).pipe(socket);
+      const outgoing = connect(this.#targetPort, "127.0.0.1");
+      outgoing.on("error", () => {});
+      socket.pipe(outgoing).pipe(socket);
       socket.resume();
     }
   }
@@ -60,19 +59,19 @@
   }
 }
 
-/** An entry whose link to the one member opens only once it is let. */
+/** An entry whose link to its only member opens when a test allows it. */
 class Entry implements AsyncDisposable {
   readonly received: MeshFrame[] = [];
   readonly calls: EntryCalls;
   readonly #client: MeshClient;
   readonly #server: MeshServer;
-  readonly #way: HeldWay;
-  readonly #wayPort: number;
+  readonly #proxy: HeldProxy;
+  readonly #proxyPort: number;
 
-  constructor(meshPort: number, wayPort: number) {
+  constructor(meshPort: number, proxyPort: number) {
     const readClock = () => performance.now();
-    this.#wayPort = wayPort;
-    this.#way = new HeldWay(meshPort);
+    this.#proxyPort = proxyPort;
+    this.#proxy = new HeldProxy(meshPort);
     this.#server = new MeshServer({
       address: { host: "127.0.0.1", port: meshPort },
       onFrames: (_link, frames) => this.received.push(...frames),
@@ -94,7 +93,7 @@
       getService: () => "front",
     });
     const members = new MemberTable();
-    const address = `127.0.0.1:${wayPort}`;
+    const address = `127.0.0.1:${proxyPort}`;
     members.replace("warehouse", [createAnnouncement(address)]);
     this.calls = new EntryCalls({
       dataCentre: "a",
@@ -122,14 +121,14 @@
   static async open(): Promise<Entry> {
     const entry = new Entry(await findPort(), await findPort());
     await entry.#server.open();
-    await entry.#way.open(entry.#wayPort);
+    await entry.#proxy.open(entry.#proxyPort);
     return entry;
   }
 
   /** Starts a call; the function returned withdraws it. */
-  start(requestId: string, patienceMs: number, bodyBytes = 0): () => void {
+  start(requestId: string, timeoutMs: number, bodyBytes = 0): () => void {
     const arrivedAtMs = performance.now();
-    const deadlineMs = arrivedAtMs + patienceMs;
+    const deadlineMs = arrivedAtMs + timeoutMs;
     const body = new Uint8Array(bodyBytes);
     const request = createEntryRequest({
       requestId,
@@ -140,10 +139,11 @@
     return this.calls.start(request, "warehouse", () => {});
   }
 
-  /** Lets the link open; the calls that come, once `lastId` is among them. */
-  async letOpen(lastId: string): Promise<readonly CallOpened[]> {
-    this.#way.release();
-    const list = () => this.received.filter((f) => f.type === "CallOpened");
+  /** Opens the link; returns the calls received once `lastId` is among them. */
+  async openLink(lastId: string): Promise<readonly CallOpened[]> {
+    this.#proxy.release();
+    const list = () =>
+      this.received.filter((frame) => frame.type === "CallOpened");
     while (!list().some(({ requestId }) => requestId === lastId)) {
       await sleep(5);
     }
@@ -152,7 +152,7 @@
 
   async [Symbol.asyncDispose](): Promise<void> {
     await this.#client[Symbol.asyncDispose]();
-    await this.#way[Symbol.asyncDispose]();
+    await this.#proxy[Symbol.asyncDispose]();
     await this.#server[Symbol.asyncDispose]();
   }
 }
@@ -164,7 +164,7 @@
     entry.start("stays", 5_000);
     await sleep(20);
     leave();
-    const calls = await entry.letOpen("stays");
+    const calls = await entry.openLink("stays");
     expect(calls.map(({ requestId }) => requestId)).to.deep.equal(["stays"]);
     const parts = entry.received.filter(({ type }) => type === "BodyPart");
     expect(parts, "parts of its body").to.deep.equal([]);
@@ -176,8 +176,8 @@
     await using entry = await Entry.open();
     entry.start("waits", 5_000);
     await sleep(HELD_MS);
-    const [call] = await entry.letOpen("waits");
-    // The other node's clock stands at 0, so this is the time left on the wire.
+    const [call] = await entry.openLink("waits");
+    // The other node's clock is always 0: this is the remaining time as sent.
     expect(call!.deadlineMs).to.be.at.most(5_000 - HELD_MS);
   });
 });
--- a/src/engine/relay/test/caller_server_test.ts
+++ b/src/engine/relay/test/caller_server_test.ts
@@ -1,4 +1,4 @@
-/** The listener for callers: what it makes of their requests. */
+/** Requests of callers at the listener, over loopback. */
 import { connect } from "node:net";
 import type { Socket } from "node:net";
 import { expect } from "chai";
@@ -17,7 +17,7 @@
 
 const KEY = "a-key";
 const LEASE_MS = 1_000;
-/** Longest time that a test waits for something. */
+/** Time after which a test stops waiting for a condition. */
 const WAIT_MS = 5_000;
 const DIALECT: CallDialect = {
   readTerms: () => ({ requestId: "r", patienceMs: 5_000, key: KEY }),
@@ -49,14 +49,14 @@
   failure: { type: "Refused", retryAfterMs: 100 },
 };
 
-/** A caller's connection, and what came back on it. */
+/** A caller's connection, and the bytes received on it. */
 interface Connection {
   readonly socket: Socket;
   received: string;
   isClosed: boolean;
 }
 
-/** Requests sent one behind the other, before any answer. */
+/** Formats pipelined requests: sent in a row without waiting for answers. */
 function formatRequests(count: number, from = 0): string {
   return Array.from(
     { length: count },
@@ -68,18 +68,18 @@
   return received.match(/HTTP\/1\.1 \d+/g) ?? [];
 }
 
-/** A listener whose calls stay open until they are ended. */
+/** A listener whose calls stay open until a test ends them. */
 class Callers implements AsyncDisposable {
   readonly started: EntryRequest[] = [];
   readonly ends: (() => void)[] = [];
-  /** Numbers of the calls that were withdrawn. */
+  /** Indexes of the withdrawn calls, in order of start. */
   readonly withdrawn: number[] = [];
   isNested = false;
-  /** Answers the call that was started last. */
+  /** Answers the call started last. */
   answer: (body: Uint8Array) => void = () => {};
   readonly url: string;
   readonly server: CallerServer;
-  /** The server's clock is ahead by so much. */
+  /** How far the server's clocks are ahead of the test's. */
   aheadMs = 0;
   readonly access = new KeyAccess({
     leaseMs: LEASE_MS,
@@ -97,15 +97,15 @@
     this.access,
     new QuotaGate({ terms: undefined, draw: () => 0.5 }),
   );
-  /** Whether first requests wait until they are let go on. */
+  /** Whether first requests are held until a test runs `held`. */
   isHolding = false;
   readonly held: (() => void)[] = [];
-  /** Requests that no longer count against the limit of their workspace. */
-  givenBack = 0;
+  /** Number of requests refunded to the limit of their workspace. */
+  refundedCount = 0;
 
   constructor(port: number, hasRoutes: boolean) {
     this.workspaces.giveBack = () => {
-      this.givenBack += 1;
+      this.refundedCount += 1;
     };
     this.url = `http://127.0.0.1:${port}/`;
     this.server = new CallerServer({
@@ -140,12 +140,12 @@
       log: { write: () => {} },
     });
     if (hasRoutes) {
-      this.learnRoutes();
+      this.installRoutes();
     }
   }
 
   /** Puts the first routes in force. */
-  learnRoutes(): void {
+  installRoutes(): void {
     const table = { version: 1, routes: [ROUTE], limits: LIMITS };
     this.server.replaceRoutes(table);
   }
@@ -156,7 +156,7 @@
     return callers;
   }
 
-  /** Sends a request; the status of its answer. */
+  /** Sends a request; returns the status of its answer. */
   async send(bodyBytes = 0): Promise<number> {
     const { statusCode, body } = await request(this.url, {
       method: "POST",
@@ -166,7 +166,7 @@
     return statusCode;
   }
 
-  /** Opens a connection, and sends bytes as they are. */
+  /** Opens a connection, and sends `text` unchanged. */
   connect(text: string): Connection {
     const { hostname, port } = new URL(this.url);
     const socket = connect(Number(port), hostname, () => socket.write(text));
@@ -184,7 +184,7 @@
 }
 
 describe("the listener for callers", () => {
-  it("says of a call whether the backend server made it", async () => {
+  it("reports whether the backend server made a call", async () => {
     await using callers = await Callers.open();
     const caller = callers.send();
     await waitFor(() => callers.started.length === 1);
@@ -197,7 +197,7 @@
     expect(await Promise.all([caller, nested])).to.deep.equal([503, 503]);
   });
 
-  it("refuses bodies beyond what it may hold, and takes them after", async () => {
+  it("refuses bodies beyond its memory limit, and accepts them later", async () => {
     await using callers = await Callers.open();
     const megabytes = 1_048_576;
     const held = callers.send(40 * megabytes);
@@ -214,7 +214,7 @@
 });
 
 describe("an answer", () => {
-  it("holds all bytes as they are, in short bodies and in long ones", async () => {
+  it("keeps all bytes of short and of long bodies", async () => {
     for (const length of [256, 16_384, 16_385]) {
       await using callers = await Callers.open();
       const body = Uint8Array.from({ length }, (_, at) => at & 0xff);
@@ -233,7 +233,7 @@
   const HEAD =
     "POST /1 HTTP/1.1\r\nHost: 127.0.0.1\r\nContent-Length: 4\r\n\r\n";
 
-  /** Sends a head and half of its body, and the rest once time has passed. */
+  /** Sends a head and half of the body, advances the clock, and sends the rest. */
   async function sendSlowly(callers: Callers, passedMs: number) {
     const workspace = {
       name: "mill",
@@ -253,14 +253,14 @@
     return connection;
   }
 
-  it("is started where its lease still holds once its body is whole", async () => {
+  it("is started if its lease still holds once its body is complete", async () => {
     await using callers = await Callers.open();
     await sendSlowly(callers, LEASE_MS / 2);
     await waitFor(() => callers.started.length === 1);
   });
 
-  // Guards a limit against requests that ran nowhere as their caller had left.
-  it("counts no more where its caller left before it was started", async () => {
+  // Guards against charging a limit for requests that were never run.
+  it("is no longer counted if its caller left before it was started", async () => {
     await using callers = await Callers.open();
     callers.isHolding = true;
     const { socket } = await sendSlowly(callers, 0);
@@ -268,11 +268,11 @@
     socket.destroy();
     await waitFor(() => callers.server.openCount === 0);
     callers.held.forEach((run) => run());
-    expect(callers.givenBack).to.equal(1);
+    expect(callers.refundedCount).to.equal(1);
     expect(callers.started).to.have.length(0);
   });
 
-  it("is refused, and counts no more, where its time is up by then", async () => {
+  it("is refused, and no longer counted, if its time is up by then", async () => {
     await using callers = await Callers.open();
     callers.isHolding = true;
     const connection = await sendSlowly(callers, 0);
@@ -282,11 +282,11 @@
     callers.aheadMs += 1;
     callers.held.forEach((run) => run());
     await waitFor(() => connection.received.includes("HTTP/1.1 503"));
-    expect(callers.givenBack).to.equal(1);
+    expect(callers.refundedCount).to.equal(1);
     expect(callers.started).to.have.length(0);
   });
 
-  it("is refused where its body took longer than its lease", async () => {
+  it("is refused if its body took longer than its lease", async () => {
     await using callers = await Callers.open();
     const connection = await sendSlowly(callers, LEASE_MS);
     await waitFor(() => connection.received.includes("HTTP/1.1 503"));
@@ -301,13 +301,13 @@
     await sleep(50);
     callers.server.tick();
     expect(callers.started).to.have.length(0);
-    callers.learnRoutes();
+    callers.installRoutes();
     await waitFor(() => callers.started.length === 1);
     callers.ends[0]!();
     expect(await waiting).to.equal(503);
   });
 
-  it("are refused where none come in time", async () => {
+  it("are refused if none come in time", async () => {
     await using callers = await Callers.open(false);
     const waiting = callers.send();
     await waitFor(() => callers.server.openCount === 1);
@@ -323,7 +323,7 @@
     await waitFor(() => callers.server.openCount === 1);
     left.socket.destroy();
     await waitFor(() => callers.server.openCount === 0);
-    callers.learnRoutes();
+    callers.installRoutes();
     await sleep(20);
     expect(callers.started).to.have.length(0);
   });
@@ -337,7 +337,7 @@
     const countAnswers = () =>
       connections.reduce((sum, one) => sum + listStatuses(one).length, 0);
     await waitFor(() => countAnswers() === MAX_STARTED);
-    callers.learnRoutes();
+    callers.installRoutes();
     await waitFor(() => callers.started.length === MAX_WAITING);
     connections.forEach(({ socket }) => socket.destroy());
   });
@@ -359,7 +359,7 @@
     connection.socket.destroy();
   });
 
-  it("begin no more than a bound, and go on as others end", async () => {
+  it("start up to a limit, and more start as others end", async () => {
     await using callers = await Callers.open();
     const connection = callers.connect(formatRequests(MAX_STARTED + 5));
     await waitFor(() => callers.started.length === MAX_STARTED);
@@ -378,7 +378,7 @@
     connection.socket.destroy();
   });
 
-  it("hold back nothing of other connections", async () => {
+  it("don't delay other connections", async () => {
     await using callers = await Callers.open();
     const full = callers.connect(formatRequests(MAX_STARTED + 5));
     await waitFor(() => callers.started.length === MAX_STARTED);
@@ -400,7 +400,7 @@
     expect(callers.started).to.have.length(MAX_STARTED);
   });
 
-  it("are not begun behind a request that closes the connection", async () => {
+  it("are not started behind a request that closes the connection", async () => {
     await using callers = await Callers.open();
     const closing =
       "GET /0 HTTP/1.1\r\nHost: 127.0.0.1\r\nConnection: close\r\n\r\n";
@@ -432,7 +432,7 @@
     expect(connection.received.match(/Connection: close/g)).to.have.length(1);
   });
 
-  it("get no 400 for bytes behind them that are no request", async () => {
+  it("get no 400 for malformed bytes behind them", async () => {
     await using callers = await Callers.open();
     const connection = callers.connect(
       formatRequests(2) + "NO REQUEST AT ALL\r\n\r\n" + formatRequests(1, 2),
@@ -468,12 +468,12 @@
   return new Promise((resolve) => setTimeout(resolve, timeMs));
 }
 
-/** Fails in its own time: one that polls on keeps the whole run from its end. */
+/** Polls until a condition is met; throws in time, so that the run can end. */
 async function waitFor(isMet: () => boolean): Promise<void> {
   const endMs = Date.now() + WAIT_MS;
   while (!isMet()) {
     if (Date.now() > endMs) {
-      throw new Error(`What was waited for did not happen in ${WAIT_MS} ms`);
+      throw new Error(`Condition was not met within ${WAIT_MS} ms`);
     }
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
--- a/src/engine/relay/test/entry_calls_test.ts
+++ b/src/engine/relay/test/entry_calls_test.ts
@@ -1,4 +1,4 @@
-/** Calls at their entry, over links whose other end may fall silent. */
+/** Calls at the entry, over links whose other end may go silent. */
 import { expect } from "chai";
 import type { CallOpened, MeshFrame } from "../../mesh/common/frames.ts";
 import type { EntryRequest, EntryResult } from "../common/entry_types.ts";
@@ -9,7 +9,7 @@
 
 const LOAD = { running: 0, queued: 0, limit: 10, pressure: 0, serviceMs: 0 };
 
-/** An entry whose clock and links the test moves. */
+/** An entry whose clock and links a test controls. */
 class Entry {
   nowMs = 0;
   readonly sent: (readonly [string, MeshFrame])[] = [];
@@ -53,7 +53,7 @@
       recordAttempt: () => {},
       recordCallDuration: () => {},
     });
-    // Whole windows of the budget after the start.
+    // A full window of the budget after the start: there is slack from then on.
     this.nowMs = 10_000;
   }
 
@@ -65,17 +65,17 @@
     );
   }
 
-  /** Lets time pass in ticks; the nodes named go on reporting. */
-  pass(lengthMs: number, ...talking: readonly string[]): void {
+  /** Advances the clock in ticks; the nodes at `reporting` keep reporting. */
+  pass(lengthMs: number, ...reporting: readonly string[]): void {
     const endMs = this.nowMs + lengthMs;
     while (this.nowMs < endMs) {
       this.nowMs += 20;
-      talking.forEach((address) => this.hear(address));
+      reporting.forEach((address) => this.receiveReport(address));
       this.calls.tick();
     }
   }
 
-  hear(address: string): void {
+  receiveReport(address: string): void {
     this.lastReceivedAtMs.set(address, this.nowMs);
     const report = {
       type: "LoadReported",
@@ -86,10 +86,10 @@
     this.calls.receive(address, report);
   }
 
-  /** All members say that they call nobody. */
-  hearAll(): void {
+  /** Reports of all members that they make no downstream calls. */
+  receiveAllReports(): void {
     this.members.list("warehouse")
-      .forEach(({ announcement }) => this.hear(announcement.ingress));
+      .forEach(({ announcement }) => this.receiveReport(announcement.ingress));
   }
 
   listOpenings(): readonly string[] {
@@ -115,7 +115,7 @@
     expect(entry.listOpenings().slice(1)).to.deep.equal(Array(8).fill(other));
   });
 
-  it("still gets calls where there is no other", () => {
+  it("still gets calls if there is no other", () => {
     const entry = new Entry("a:1");
     entry.start();
     entry.pass(400);
@@ -123,7 +123,7 @@
     expect(entry.listOpenings()).to.deep.equal(["a:1", "a:1"]);
   });
 
-  it("loses calls that may be repeated to another in time", () => {
+  it("has its idempotent calls retried at another in time", () => {
     const entry = new Entry("a:1", "b:1");
     entry.start();
     const [silent] = entry.listOpenings();
@@ -133,7 +133,7 @@
     expect(entry.results).to.deep.equal([]);
   });
 
-  it("keeps calls that may not be repeated until its link is given up", () => {
+  it("keeps non-idempotent calls until its link is dropped", () => {
     const entry = new Entry("a:1", "b:1");
     entry.start({ route: { ...ROUTE, isIdempotent: false } });
     entry.pass(1_100);
@@ -145,14 +145,14 @@
     expect(entry.listOpenings()).to.have.length(1);
   });
 
-  it("is probed without a call, and gets calls once it is heard", () => {
+  it("is probed without a call, and gets calls once it reports", () => {
     const entry = new Entry("a:1", "b:1");
     entry.calls.handleLinkLoss("a:1", "closed", true);
     entry.start();
     expect(entry.listOpenings()).to.deep.equal(["b:1"]);
     entry.pass(400, "b:1");
     expect(entry.probed).to.deep.equal(["a:1"]);
-    entry.hear("a:1");
+    entry.receiveReport("a:1");
     for (let n = 0; n < 4; n += 1) {
       entry.start();
     }
@@ -171,9 +171,9 @@
     body: new Uint8Array(),
   });
 
-  it("of a service that calls no other is tried at another one, once", () => {
+  it("of a service that calls no other is retried at another one, once", () => {
     const entry = new Entry("a:1", "b:1");
-    entry.hearAll();
+    entry.receiveAllReports();
     entry.start();
     const [first] = entry.listOpenings();
     const { call } = entry.getFirstOpening();
@@ -186,7 +186,7 @@
       .to.deep.equal([500]);
   });
 
-  // Guards services below against repeats before it is known that they exist.
+  // Guards downstream services against retries before they are known.
   it("is passed on while no member has said what it calls", () => {
     const entry = new Entry("a:1", "b:1");
     entry.start();
@@ -196,7 +196,7 @@
     expect(entry.results).to.have.length(1);
   });
 
-  it("of a service that calls others is passed on: below, it would recur", () => {
+  it("of a service that calls others is passed on: downstream, it would recur", () => {
     const entry = new Entry("a:1", "b:1");
     const report = {
       type: "LoadReported",
@@ -232,7 +232,7 @@
 });
 
 describe("a call of a service without members", () => {
-  it("waits for the first one while not all are told", () => {
+  it("waits for the first one until all members are known", () => {
     const entry = new Entry();
     entry.start();
     entry.pass(100);
@@ -242,14 +242,14 @@
     expect(entry.listOpenings()).to.deep.equal(["a:1"]);
   });
 
-  it("is refused at once where all were told", () => {
+  it("is refused at once if all members are known", () => {
     const entry = new Entry();
     entry.members.noteComplete("warehouse");
     entry.start();
     expect(entry.results.map(({ type }) => type)).to.deep.equal(["Failed"]);
   });
 
-  it("is refused where none comes in time", () => {
+  it("is refused if none comes in time", () => {
     const entry = new Entry();
     entry.start();
     entry.pass(600);
@@ -268,7 +268,7 @@
 });
 
 describe("a link that never opened", () => {
-  it("fails its calls as refused: they go elsewhere, even transfers", () => {
+  it("fails its calls as refused: even transfers are sent elsewhere", () => {
     const entry = new Entry("a:1", "b:1");
     entry.start({ route: { ...ROUTE, isIdempotent: false } });
     const [first] = entry.listOpenings();
--- a/src/engine/relay/test/gate_calls_test.ts
+++ b/src/engine/relay/test/gate_calls_test.ts
@@ -1,4 +1,4 @@
-/** The gate's calls against a backend server that never answers. */
+/** Calls at the gate of a backend server that never answers. */
 import { createServer } from "node:net";
 import type { AddressInfo, Socket } from "node:net";
 import { expect } from "chai";
@@ -8,7 +8,7 @@
 import type { GateCallsOptions } from "../node/gate_calls.ts";
 import { createBackend, createCall, DIALECT } from "./gate_fakes.ts";
 
-/** A gate whose backend server listens at a port. */
+/** Opens a gate whose backend server listens at `port`. */
 function openGate(
   port: number,
   readClock = () => 1_000,
@@ -30,7 +30,7 @@
 }
 
 describe("large bodies at the gate", () => {
-  it("are refused beyond what it may hold, and taken again after", async () => {
+  it("are refused beyond its memory limit, and accepted once it is free", async () => {
     await using gate = openGate(9);
     const frames: MeshFrame[] = [];
     const send = (frame: MeshFrame) => frames.push(frame);
@@ -45,7 +45,7 @@
     expect(frames).to.have.length(2);
   });
 
-  it("may be larger than that where one comes alone", async () => {
+  it("may be larger than that limit if there is no other", async () => {
     await using gate = openGate(9);
     const frames: MeshFrame[] = [];
     const bodyBytes = 64 * 1_048_576;
@@ -58,11 +58,11 @@
 
 describe("a backend server that never answers", () => {
   it("gets its place back after the deadline, also for a transfer", async () => {
-    let takeRequest = () => {};
-    const isTaken = new Promise<void>((resolve) => takeRequest = resolve);
+    let markReceived = () => {};
+    const received = new Promise<void>((resolve) => markReceived = resolve);
     const server = createServer((socket) => {
       socket.on("error", () => {});
-      socket.once("data", takeRequest);
+      socket.once("data", markReceived);
     });
     await new Promise<void>((resolve) =>
       server.listen(0, "127.0.0.1", resolve)
@@ -79,7 +79,7 @@
     gate.receive("1", createCall(1, {}), (frame) => frames.push(frame));
     expect(gate.readLoad().running).to.equal(1);
     expect(runs).to.deep.equal([["transfer", 1]]);
-    await isTaken;
+    await received;
     gate.receive("1", { type: "CallCancelled", call: 1 }, () => {});
     expect(gate.readLoad().running, "a transfer runs on").to.equal(1);
     nowMs += 1_600;
@@ -94,7 +94,7 @@
 });
 
 describe("calls of one message", () => {
-  it("are handed over only once all of it is read", async () => {
+  it("are handed over only once all of its frames are read", async () => {
     const runs: string[] = [];
     const recordRun = ({ route }: BackendRun) => runs.push(route);
     await using gate = openGate(9, () => 1_000, recordRun);
@@ -154,7 +154,7 @@
   });
 });
 
-/** A server that takes connections and says nothing. */
+/** Opens a server that accepts connections and never answers. */
 async function openSilentServer(): Promise<
   AsyncDisposable & { readonly port: number }
 > {
--- a/src/engine/relay/test/gate_fakes.ts
+++ b/src/engine/relay/test/gate_fakes.ts
@@ -1,9 +1,9 @@
-/** What the gate's tests put around it. */
+/** Fakes for the tests of the gate. */
 import type { CallOpened } from "../../mesh/common/frames.ts";
 import type { CallDialect } from "../common/dialect.ts";
 import type { LocalBackend } from "../common/gate.ts";
 
-/** A dialect without headers of its own. */
+/** A dialect that adds no headers. */
 export const DIALECT: CallDialect = {
   readTerms: () => ({
     requestId: undefined,
@@ -17,7 +17,7 @@
   readLoad: () => undefined,
 };
 
-/** Creates a transfer to the service beside the gate. */
+/** Creates a non-idempotent call to the service of the gate's backend server. */
 export function createCall(
   call: number,
   change: Partial<CallOpened>,
@@ -42,7 +42,7 @@
   };
 }
 
-/** Creates a backend server at a port of this machine. */
+/** Creates a backend server at a loopback port. */
 export function createBackend(
   port: number,
   startedAtMs?: number,
