--- a/src/engine/relay/node/gate_calls.ts
+++ b/src/engine/relay/node/gate_calls.ts
@@ -130,7 +130,7 @@
    * Receives the frames of one message from a caller. `delayMs` is how much
    * longer than usual the message was in transit. No call is handed over before
    * all frames are read: if a process lagged, a call and its cancellation come
-   * in the same message.
+   * in the same message. `source` identifies the link.
    */
   receiveAll(
     source: string,
@@ -147,7 +147,7 @@
       .forEach((call) => this.#admit(call));
   }
 
-  /** Receives one frame, in transit `delayMs` longer than usual. */
+  /** Receives one frame of a link; it was `delayMs` longer in transit than usual. */
   receive(
     source: string,
     frame: MeshFrame,
