--- a/src/engine/relay/node/entry_calls.ts
+++ b/src/engine/relay/node/entry_calls.ts
@@ -124,7 +124,8 @@
 const ROOT_RETRY_MS = 700;
 
 /**
- * Calls in progress at the entry, by number; a process never uses a number
+ * The entry: the node through which the calls of its VM's callers enter the
+ * mesh. Keeps the calls in progress by number; a process never uses a number
  * twice.
  */
 export class EntryCalls {
@@ -303,6 +304,7 @@
     });
   }
 
+  /** Chooses a member and sends the call there; without one, it waits. */
   #sendNow(call: EntryCall): void {
     const { members, dataCentre, readClock, draw, links } = this.#options;
     const nowMs = readClock();
@@ -332,6 +334,7 @@
     }
   }
 
+  /** Queues a call while a first member may still be reported, or refuses it. */
   #waitForMember(call: EntryCall, nowMs: number): void {
     const { arrivedAtMs, deadlineMs } = call.request;
     const patienceMs = deadlineMs - arrivedAtMs;
@@ -354,6 +357,7 @@
       .forEach((call) => this.#send(call));
   }
 
+  /** Starts to collect an answer, or retries the call if it is an error. */
   #openAnswer(address: string, opened: AnswerOpened): void {
     const { members, readClock } = this.#options;
     const nowMs = readClock();
@@ -413,6 +417,7 @@
     }
   }
 
+  /** Ends an attempt as failed, and retries the call elsewhere or ends it. */
   #fail(call: EntryCall, { kind, cause, reason }: AttemptFailure): void {
     const nowMs = this.#options.readClock();
     const { member } = call.attempt!;
@@ -501,6 +506,7 @@
     });
   }
 
+  /** Ends a call whose caller has left. */
   #withdraw(call: EntryCall): void {
     if (this.#calls.has(call.id)) {
       this.#logWithdrawn(call);
--- a/src/engine/relay/node/gate_calls.ts
+++ b/src/engine/relay/node/gate_calls.ts
@@ -60,7 +60,7 @@
 /** A call is failed this long after its deadline if it has no answer. */
 const ANSWER_GRACE_MS = 1_000;
 
-/** Calls of all callers for the backend server beside this node. */
+/** The admission gate of the backend server beside this node, with its calls. */
 export class GateCalls implements AsyncDisposable {
   readonly #options: GateCallsOptions;
   readonly #gate = createGate();
@@ -262,6 +262,7 @@
     }
   }
 
+  /** Admits a call whose body is complete, but not while a message is read. */
   #admitAfterMessage(call: GateCallState): void {
     if (this.#isReadingMessage) {
       this.#callsToAdmit.push(call);
--- a/src/engine/relay/test/entry_calls_test.ts
+++ b/src/engine/relay/test/entry_calls_test.ts
@@ -212,7 +212,7 @@
     expect(entry.results).to.have.length(1);
   });
 
-  it("is passed on where the call may have changed something", () => {
+  it("is passed on if the call is not idempotent", () => {
     const entry = new Entry("a:1", "b:1");
     entry.start({ route: { ...ROUTE, isIdempotent: false } });
     const [first] = entry.listOpenings();
--- a/src/engine/relay/test/gate_calls_test.ts
+++ b/src/engine/relay/test/gate_calls_test.ts
@@ -141,7 +141,7 @@
     expect(gate.readLoad()).to.include({ running: 1, queued: 0 });
   });
 
-  it("is told apart also where it fell silent between", async () => {
+  it("is recognized as restarted even if it was silent in between", async () => {
     await using server = await openSilentServer();
     await using gate = openGate(server.port);
     gate.changeBackend(createBackend(server.port, 1_000));
