--- a/src/engine/call/node/answer_collector.ts
+++ b/src/engine/call/node/answer_collector.ts
@@ -1,53 +1,58 @@
-/** Holds a backend server's answer whole, as far as it is small enough. */
+/** Buffers the answer of a backend server completely, up to a size limit. */
 import { Readable } from "node:stream";
 import type { Dispatcher } from "undici";
 import type { StoredAnswer } from "../../claims/common/claim_types.ts";
-import { copyHeaders } from "./exchange.ts";
+import { copyEndToEndHeaders } from "./exchange.ts";
 
-/** The head and body that are passed on. */
-export interface SourceAnswer {
+/** An answer that can be relayed to the caller. */
+export interface RelayableAnswer {
   readonly statusCode: number;
-  /** Names and values in turn. */
+  /** Names and values, alternating. */
   readonly headers: readonly string[];
   readonly body: Readable;
 }
 
-/** An answer that was read. */
+/** The result of reading an answer up to the size limit. */
 export interface CollectedAnswer {
-  /** What is passed on in place of the one that was read. */
-  readonly source: SourceAnswer;
-  /** Undefined where the body is over the limit. */
+  /** Replaces the original answer, whose body has been consumed. */
+  readonly relayable: RelayableAnswer;
+  /** Undefined if the body exceeds the size limit. */
   readonly stored: StoredAnswer | undefined;
 }
 
-/** Reads an answer, up to `maxBytes`; throws where it is cut. */
+/**
+ * Reads an answer, buffering up to `maxBytes` of its body. A larger body is
+ * relayed as a stream. Throws if the body is truncated while it is buffered.
+ */
 export async function collectAnswer(
   answer: Dispatcher.ResponseData,
   maxBytes: number,
 ): Promise<CollectedAnswer> {
-  const headers = copyHeaders(flattenHeaders(answer.headers));
+  const headers = copyEndToEndHeaders(flattenHeaders(answer.headers));
   const { statusCode } = answer;
   const chunks: Uint8Array[] = [];
-  const rest = answer.body[Symbol.asyncIterator]();
-  let total = 0;
-  let next = await rest.next();
-  while (next.done !== true) {
-    const chunk = next.value as Uint8Array;
+  const remaining = answer.body[Symbol.asyncIterator]();
+  let totalBytes = 0;
+  let result = await remaining.next();
+  while (result.done !== true) {
+    const chunk = result.value as Uint8Array;
     chunks.push(chunk);
-    total += chunk.length;
-    if (total > maxBytes) {
-      const body = Readable.from(join(chunks, rest), { objectMode: false });
-      return { source: { statusCode, headers, body }, stored: undefined };
+    totalBytes += chunk.length;
+    if (totalBytes > maxBytes) {
+      const body = Readable.from(joinChunks(chunks, remaining), {
+        objectMode: false,
+      });
+      return { relayable: { statusCode, headers, body }, stored: undefined };
     }
-    next = await rest.next();
+    result = await remaining.next();
   }
   const bodyBase64 = Buffer.concat(chunks).toString("base64");
   const stored = { status: statusCode, headers, bodyBase64 };
-  return { source: createSource(stored), stored };
+  return { relayable: createRelayableAnswer(stored), stored };
 }
 
-/** Turns a kept answer into one that can be passed on. */
-export function createSource(answer: StoredAnswer): SourceAnswer {
+/** Converts a stored answer into one that can be relayed. */
+export function createRelayableAnswer(answer: StoredAnswer): RelayableAnswer {
   const bytes = Buffer.from(answer.bodyBase64, "base64");
   const body = Readable.from(bytes.length === 0 ? [] : [bytes], {
     objectMode: false,
@@ -55,24 +60,25 @@
   return { statusCode: answer.status, headers: answer.headers, body };
 }
 
-/** Writes headers as names and values in turn. */
+/** Converts parsed headers into a list of alternating names and values. */
 export function flattenHeaders(
   headers: Dispatcher.ResponseData["headers"],
 ): readonly string[] {
   const flat: string[] = [];
   for (const [name, value] of Object.entries(headers)) {
     const values = Array.isArray(value) ? value : [value ?? ""];
-    for (const one of values) {
-      flat.push(name, one);
+    for (const item of values) {
+      flat.push(name, item);
     }
   }
   return flat;
 }
 
-async function* join(
-  chunks: readonly Uint8Array[],
-  rest: AsyncIterator<unknown>,
+/** Yields the buffered chunks, then the chunks that have not been read yet. */
+async function* joinChunks(
+  buffered: readonly Uint8Array[],
+  remaining: AsyncIterator<unknown>,
 ): AsyncGenerator<unknown> {
-  yield* chunks;
-  yield* { [Symbol.asyncIterator]: () => rest };
+  yield* buffered;
+  yield* { [Symbol.asyncIterator]: () => remaining };
 }
--- a/src/engine/call/node/answer_stream.ts
+++ b/src/engine/call/node/answer_stream.ts
@@ -1,33 +1,41 @@
-/** Takes one attempt's answer off its connection and passes it on. */
+/** Receives the answer to one attempt and relays it to the caller. */
 import type { ServerResponse } from "node:http";
 import type { Dispatcher } from "undici";
 
-/** The head of an answer. */
+/** The status and headers of an answer. */
 export interface AnswerHead {
   readonly statusCode: number;
-  /** Names and values in turn, as they came. */
+  /** Names and values as received, alternating. */
   readonly headers: readonly string[];
 }
 
-/** What is told of an attempt; each but `onData` is called at most once. */
+/**
+ * Callbacks for the progress of an attempt. Each except `onData` is called at
+ * most once.
+ */
 export interface AnswerStreamOptions {
-  /** The head is here; throws where the answer can't be passed on. */
+  /** The head was received; throws if the answer cannot be relayed. */
   readonly onHead: (head: AnswerHead) => void;
-  /** Bytes of the body came. */
+  /** Bytes of the body were received. */
   readonly onData: () => void;
-  /** The attempt failed, or its answer was cut after its head. */
+  /** The attempt failed, or its answer was truncated after the head. */
   readonly onFailure: (error: Error) => void;
 }
 
-/** A last chunk up to this size is copied to go out in one write. */
-const ONE_WRITE_BYTES = 16 * 1024;
+/** A final chunk up to this size is copied so that it goes out in one write. */
+const MAX_SINGLE_WRITE_BYTES = 16 * 1024;
 
+/**
+ * What happens to the body: it is buffered until the answer is relayed
+ * ("waiting"), written to the caller ("relayed"), or read and dropped.
+ */
 type Phase = "waiting" | "relayed" | "discarded" | "aborted";
 
 /**
- * The handler of one request. It is called by undici without a stream or a
- * promise between them, which is most of what `request` costs for a small
- * answer. What comes before `relay` is held, and the connection is paused.
+ * Handles one request. undici calls it directly, without the stream and the
+ * promise that make up most of the cost of `request` for a small answer.
+ * Body bytes received before `relay` are buffered while the connection is
+ * paused.
  */
 export class AnswerStream implements Dispatcher.DispatchHandler {
   readonly #options: AnswerStreamOptions;
@@ -36,35 +44,37 @@
   #resume: (() => void) | undefined;
   #response: ServerResponse | undefined;
   #head: AnswerHead | undefined;
-  #held: Uint8Array[] = [];
-  /** Bytes of the body that are still to come; infinite where unsaid. */
-  #leftBytes = Infinity;
-  #last: Buffer | undefined;
+  /** Chunks received before `relay`. */
+  #buffered: Uint8Array[] = [];
+  /** Body bytes not received yet; infinite without a Content-Length. */
+  #remainingBytes = Infinity;
+  /** The final chunk, kept back to be sent together with the end. */
+  #lastChunk: Buffer | undefined;
   #isComplete = false;
-  #isAnswered = false;
+  #isHeadAccepted = false;
 
   constructor(options: AnswerStreamOptions) {
     this.#options = options;
   }
 
-  /** The head of the answer, once it is here. */
+  /** The head of the answer; undefined until it has been received. */
   get head(): AnswerHead | undefined {
     return this.#head;
   }
 
-  /** Whether a head came that was passed on to be answered with. */
-  get isAnswered(): boolean {
-    return this.#isAnswered;
+  /** Whether a head was received and `onHead` accepted it. */
+  get isHeadAccepted(): boolean {
+    return this.#isHeadAccepted;
   }
 
-  /** Sends the body on; the head of `response` is written by then. */
+  /** Relays the body; the caller must have written the head of `response`. */
   relay(response: ServerResponse): void {
     this.#phase = "relayed";
     this.#response = response;
     response.on("drain", () => this.#resume?.());
-    const held = this.#held;
-    this.#held = [];
-    for (const chunk of held) {
+    const buffered = this.#buffered;
+    this.#buffered = [];
+    for (const chunk of buffered) {
       response.write(chunk);
     }
     if (this.#isComplete) {
@@ -76,17 +86,17 @@
     }
   }
 
-  /** Reads the rest and drops it, so that the connection lives on. */
+  /** Reads and drops the rest, so that the connection can be reused. */
   discard(): void {
     this.#phase = "discarded";
-    this.#held = [];
+    this.#buffered = [];
     this.#resume?.();
   }
 
-  /** Gives the attempt up; its connection closes where it has one. */
+  /** Aborts the attempt and closes its connection if it has one. */
   abort(): void {
     this.#phase = "aborted";
-    this.#held = [];
+    this.#buffered = [];
     this.#abort?.();
   }
 
@@ -97,25 +107,29 @@
     }
   }
 
-  onHeaders(statusCode: number, raw: Buffer[], resume: () => void): boolean {
+  onHeaders(
+    statusCode: number,
+    rawHeaders: Buffer[],
+    resume: () => void,
+  ): boolean {
     if (statusCode < 200) {
       return true;
     }
     this.#resume = resume;
-    this.#head = { statusCode, headers: decodeHeaders(raw) };
+    this.#head = { statusCode, headers: decodeHeaders(rawHeaders) };
     const length = findHeader(this.#head, "content-length");
-    this.#leftBytes = length === undefined ? Infinity : Number(length);
+    this.#remainingBytes = length === undefined ? Infinity : Number(length);
     this.#options.onHead(this.#head);
-    this.#isAnswered = true;
+    this.#isHeadAccepted = true;
     return true;
   }
 
   onData(chunk: Buffer): boolean {
     this.#options.onData();
-    this.#leftBytes -= chunk.length;
+    this.#remainingBytes -= chunk.length;
     switch (this.#phase) {
       case "waiting":
-        this.#held.push(chunk);
+        this.#buffered.push(chunk);
         return false;
       case "relayed":
         return this.#write(chunk);
@@ -127,10 +141,10 @@
 
   onComplete(): void {
     this.#isComplete = true;
-    const last = this.#last;
-    this.#last = undefined;
+    const lastChunk = this.#lastChunk;
+    this.#lastChunk = undefined;
     if (this.#phase === "relayed" && !this.#response!.destroyed) {
-      endResponse(this.#response!, last);
+      endResponse(this.#response!, lastChunk);
     }
   }
 
@@ -138,15 +152,18 @@
     this.#options.onFailure(error);
   }
 
-  /** A caller that left is told of by its exchange. */
+  /**
+   * Writes a chunk to the caller and returns whether to read on. Drops the
+   * chunk if the caller has disconnected, which its exchange reports.
+   */
   #write(chunk: Buffer): boolean {
     const response = this.#response!;
     if (response.destroyed) {
       return true;
     }
-    // The last chunk waits for the end that comes with it.
-    if (this.#leftBytes === 0 && chunk.length <= ONE_WRITE_BYTES) {
-      this.#last = chunk;
+    // The final chunk is written by `onComplete`, together with the end.
+    if (this.#remainingBytes === 0 && chunk.length <= MAX_SINGLE_WRITE_BYTES) {
+      this.#lastChunk = chunk;
       return true;
     }
     return response.write(chunk);
@@ -154,28 +171,32 @@
 }
 
 /**
- * Ends an answer. As text, the last chunk goes in one buffer with a head that
- * is not out yet, and latin1 keeps every byte as it is.
+ * Ends an answer. The final chunk is passed as a string because Node.js then
+ * writes it in one buffer with a head that has not been sent yet; latin1 maps
+ * every byte to itself.
  */
-function endResponse(response: ServerResponse, last: Buffer | undefined): void {
-  if (last === undefined) {
+function endResponse(
+  response: ServerResponse,
+  lastChunk: Buffer | undefined,
+): void {
+  if (lastChunk === undefined) {
     response.end();
     return;
   }
-  response.end(last.toString("latin1"), "latin1");
+  response.end(lastChunk.toString("latin1"), "latin1");
 }
 
-/** Every byte of a value keeps its place, whatever it was encoded in. */
-function decodeHeaders(raw: readonly Buffer[]): readonly string[] {
-  return raw.map((part) => part.toString("latin1"));
+/** Decodes as latin1, which preserves every byte whatever the encoding. */
+function decodeHeaders(rawHeaders: readonly Buffer[]): readonly string[] {
+  return rawHeaders.map((part) => part.toString("latin1"));
 }
 
-/** Finds the first value of a header; `name` is in lower case. */
+/** Returns the first value of a header; `name` must be in lower case. */
 export function findHeader(head: AnswerHead, name: string): string | undefined {
   const { headers } = head;
   for (let i = 0; i + 1 < headers.length; i += 2) {
-    const found = headers[i]!;
-    if (found.length === name.length && found.toLowerCase() === name) {
+    const candidate = headers[i]!;
+    if (candidate.length === name.length && candidate.toLowerCase() === name) {
       return headers[i + 1];
     }
   }
--- a/src/engine/call/node/attempt_sender.ts
+++ b/src/engine/call/node/attempt_sender.ts
@@ -1,4 +1,4 @@
-/** Sends attempts to other nodes and to the backend server. */
+/** Sends attempts to other nodes and to the local backend server. */
 import type { ServerResponse } from "node:http";
 import type { Readable } from "node:stream";
 import { Transform } from "node:stream";
@@ -31,216 +31,247 @@
 import type { StoredAnswer } from "../../claims/common/claim_types.ts";
 import {
   collectAnswer,
-  createSource,
+  createRelayableAnswer,
   flattenHeaders,
 } from "./answer_collector.ts";
-import type { SourceAnswer } from "./answer_collector.ts";
+import type { RelayableAnswer } from "./answer_collector.ts";
 import { AnswerStream, findHeader } from "./answer_stream.ts";
 import type { AnswerHead } from "./answer_stream.ts";
 import { decodeLoadHint } from "../../routing/common/load_hint.ts";
-import { copyHeaders } from "./exchange.ts";
+import { copyEndToEndHeaders } from "./exchange.ts";
 import type { Exchange } from "./exchange.ts";
 import { RelayWatch } from "./relay_watch.ts";
 
 type SendAttempt = Extract<NodeEffect, { type: "SendAttempt" }>;
 
-/** What the sender is built from. */
+/** Options of an `AttemptSender`. */
 export interface AttemptSenderOptions {
   readonly dispatch: (event: NodeEvent) => void;
-  /** Most connections to one address. */
+  /** Maximum number of connections to one address. */
   readonly connections: number;
-  /** Presented to other nodes, which must be of the authority. */
+  /**
+   * Certificate presented to other nodes, and the authority that must have
+   * issued theirs. Undefined for connections in plain text.
+   */
   readonly tls?: TlsKeys | undefined;
+  /** Exchanged with other nodes in the clock header. */
   readonly clock?: ProcessClock | undefined;
 }
 
-/** An attempt whose answer goes straight on. */
+/** An attempt whose answer is relayed as it is received. */
 interface StreamedAttempt {
   readonly type: "Streamed";
   readonly stream: AnswerStream;
 }
 
-/** An attempt whose answer is held whole first. */
+/** An attempt whose answer is buffered before it is relayed. */
 interface CollectedAttempt {
   readonly type: "Collected";
-  readonly abort: AbortController;
-  answer: SourceAnswer | undefined;
+  readonly abortController: AbortController;
+  /** Undefined until the answer has been collected. */
+  answer: RelayableAnswer | undefined;
 }
 
 type OpenAttempt = StreamedAttempt | CollectedAttempt;
 
 const CONNECT_TIMEOUT_MS = 1_000;
-/** Longest idle time of a connection that is used again. */
-const KEEP_ALIVE_MS = 10_000;
+/** Idle connections are closed after this time. */
+const KEEP_ALIVE_TIMEOUT_MS = 10_000;
 /** Statuses whose answers have no body (RFC 9112, section 6.3). */
-const BODILESS: readonly number[] = [204, 304];
+const BODILESS_STATUSES: readonly number[] = [204, 304];
+/** The values of `CallOutcome`. */
 const OUTCOMES: readonly string[] = ["ran", "not-run", "unknown"];
 
 /**
- * Whether an error was raised before a byte of the request was written: only
- * a connection that was never made proves it. One that was open may report
- * the same codes long after it carried the request.
+ * Returns whether an error proves that no byte of the request was written.
+ * Only a failure to connect proves it: an established connection may report
+ * the same error codes long after it carried the request.
  */
 export function isUnsent(error: unknown): boolean {
   return error instanceof errors.ConnectTimeoutError ||
     (error as NodeJS.ErrnoException).syscall === "connect";
 }
 
-/** Whether the peer broke the connection. */
+/** Returns whether the peer broke the connection. */
 function isReset(error: unknown): boolean {
   const { code } = error as NodeJS.ErrnoException;
   return error instanceof errors.SocketError || code === "ECONNRESET" ||
     code === "EPIPE";
 }
 
-/** Runs the attempts of one node over keep-alive connections. */
+/** Sends the attempts of one node over keep-alive connections. */
 export class AttemptSender implements AsyncDisposable {
   readonly #options: AttemptSenderOptions;
+  /** By address. */
   readonly #pools = new Map<string, Pool>();
-  readonly #open = new Map<string, OpenAttempt>();
-  readonly #watch: RelayWatch;
-  /** Nodes are reached by TLS; the backend server is on loopback. */
+  /** By attempt id. */
+  readonly #openAttempts = new Map<string, OpenAttempt>();
+  readonly #relayWatch: RelayWatch;
+  /**
+   * Other nodes are reached by TLS if it is configured; the backend server is
+   * on loopback and reached in plain text.
+   */
   readonly #connectors: Readonly<Record<SendAttempt["peer"], Connector>>;
 
   constructor(options: AttemptSenderOptions) {
     this.#options = options;
-    this.#watch = new RelayWatch(options.dispatch);
+    this.#relayWatch = new RelayWatch(options.dispatch);
     this.#connectors = {
       node: createConnector(options.tls, CONNECT_TIMEOUT_MS),
       backend: createConnector(undefined, CONNECT_TIMEOUT_MS),
     };
   }
 
-  /** Sends an attempt; its result comes as events. */
+  /** Sends an attempt; its result is dispatched as events. */
   send(effect: SendAttempt, exchange: Exchange): void {
     if (effect.collectBytes === undefined) {
-      this.#stream(effect, exchange);
+      this.#sendStreamed(effect, exchange);
       return;
     }
-    const open: CollectedAttempt = {
+    const attempt: CollectedAttempt = {
       type: "Collected",
-      abort: new AbortController(),
+      abortController: new AbortController(),
       answer: undefined,
     };
-    this.#open.set(effect.attemptId, open);
-    this.#collect(effect, exchange, open).catch((error: unknown) => {
-      this.#fail(effect.attemptId, error);
+    this.#openAttempts.set(effect.attemptId, attempt);
+    this.#sendCollected(effect, exchange, attempt).catch((error: unknown) => {
+      this.#failAttempt(effect.attemptId, error);
     });
   }
 
-  /** Cancels an attempt; nothing more is heard of it. */
+  /** Aborts an attempt; its result is not dispatched. */
   abort(attemptId: string): void {
-    const open = this.#open.get(attemptId);
-    this.#open.delete(attemptId);
-    if (open?.type === "Streamed") {
-      open.stream.abort();
+    const attempt = this.#openAttempts.get(attemptId);
+    this.#openAttempts.delete(attemptId);
+    if (attempt?.type === "Streamed") {
+      attempt.stream.abort();
       return;
     }
-    open?.abort.abort();
-    open?.answer?.body.on("error", () => {}).destroy();
+    attempt?.abortController.abort();
+    attempt?.answer?.body.on("error", () => {}).destroy();
   }
 
-  /** Lets what is in progress at `address` end; later attempts reconnect. */
+  /**
+   * Closes the connections to `address` once their requests have ended; later
+   * attempts use new ones.
+   */
   dropConnections(address: string): void {
     const pool = this.#pools.get(address);
     this.#pools.delete(address);
     pool?.close().catch(() => {});
   }
 
-  /** Reads an unwanted answer to its end, so that the connection lives on. */
+  /** Reads and drops an unwanted answer, so that its connection is reused. */
   discard(attemptId: string): void {
-    const open = this.#open.get(attemptId);
-    this.#open.delete(attemptId);
-    if (open?.type === "Streamed") {
-      open.stream.discard();
+    const attempt = this.#openAttempts.get(attemptId);
+    this.#openAttempts.delete(attemptId);
+    if (attempt?.type === "Streamed") {
+      attempt.stream.discard();
       return;
     }
-    open?.answer?.body.on("error", () => {}).resume();
+    attempt?.answer?.body.on("error", () => {}).resume();
   }
 
-  /** Puts a kept answer where the one of an attempt would be. */
+  /** Uses a stored answer as the answer of an attempt that was not sent. */
   provide(attemptId: string, answer: StoredAnswer): void {
-    const abort = new AbortController();
-    const source = createSource(answer);
-    this.#open.set(attemptId, { type: "Collected", abort, answer: source });
+    const abortController = new AbortController();
+    const relayable = createRelayableAnswer(answer);
+    this.#openAttempts.set(attemptId, {
+      type: "Collected",
+      abortController,
+      answer: relayable,
+    });
   }
 
-  /** Passes an answer on; a cut one breaks the caller's connection too. */
+  /**
+   * Relays an answer to the caller with `signals` added to its headers. Closes
+   * the caller's connection if the attempt is no longer open. If the answer is
+   * truncated later, `AnswerCut` has the caller's connection closed too.
+   */
   relay(attemptId: string, exchange: Exchange, signals: SignalHeaders): void {
-    const open = this.#open.get(attemptId);
-    const answer = open?.type === "Streamed" ? open.stream.head : open?.answer;
+    const attempt = this.#openAttempts.get(attemptId);
+    const answer = attempt?.type === "Streamed"
+      ? attempt.stream.head
+      : attempt?.answer;
     const { response } = exchange;
-    if (open === undefined || answer === undefined) {
+    if (attempt === undefined || answer === undefined) {
       response.destroy();
       return;
     }
-    const headers = copyHeaders(answer.headers);
+    const headers = copyEndToEndHeaders(answer.headers);
     for (const [name, value] of Object.entries(signals)) {
       headers.push(name, value);
     }
     response.writeHead(answer.statusCode, headers);
-    this.#watch.add(attemptId, response);
+    this.#relayWatch.add(attemptId, response);
     response.on("finish", () => {
-      if (this.#open.delete(attemptId)) {
+      if (this.#openAttempts.delete(attemptId)) {
         this.#options.dispatch({ type: "AttemptEnded", attemptId });
       }
     });
-    if (open.type === "Streamed") {
-      open.stream.relay(response);
+    if (attempt.type === "Streamed") {
+      attempt.stream.relay(response);
       return;
     }
-    this.#pipe(attemptId, open.answer!.body, response);
+    this.#pipeBody(attemptId, attempt.answer!.body, response);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    for (const attemptId of [...this.#open.keys()]) {
+    for (const attemptId of [...this.#openAttempts.keys()]) {
       this.abort(attemptId);
     }
-    await this.#watch[Symbol.asyncDispose]();
+    await this.#relayWatch[Symbol.asyncDispose]();
     const pools = [...this.#pools.values()];
     await Promise.all(pools.map((pool) => pool.destroy()));
   }
 
-  #stream(effect: SendAttempt, exchange: Exchange): void {
+  #sendStreamed(effect: SendAttempt, exchange: Exchange): void {
     const { attemptId } = effect;
     const stream = new AnswerStream({
-      onHead: (head) => this.#answer(effect, exchange, head),
-      onData: () => this.#watch.noteMove(attemptId),
-      onFailure: (error) => this.#endStream(attemptId, error),
+      onHead: (head) => this.#receiveHead(effect, exchange, head),
+      onData: () => this.#relayWatch.recordProgress(attemptId),
+      onFailure: (error) => this.#failStream(attemptId, error),
     });
-    this.#open.set(attemptId, { type: "Streamed", stream });
+    this.#openAttempts.set(attemptId, { type: "Streamed", stream });
     this.#findPool(effect).dispatch(
       this.#createRequest(effect, exchange),
       stream,
     );
   }
 
-  #answer(effect: SendAttempt, exchange: Exchange, head: AnswerHead): void {
+  #receiveHead(
+    effect: SendAttempt,
+    exchange: Exchange,
+    head: AnswerHead,
+  ): void {
     const { attemptId, peer } = effect;
     assertFramed(head, exchange.request.method ?? "GET");
     if (peer === "node") {
       this.#options.clock?.observe(findHeader(head, CLOCK_HEADER));
     }
-    if (this.#open.has(attemptId)) {
-      const answer = readAnswer(head, peer);
+    if (this.#openAttempts.has(attemptId)) {
+      const answer = readAttemptAnswer(head, peer);
       this.#options.dispatch({ type: "AttemptAnswered", attemptId, answer });
     }
   }
 
-  /** Without a head the attempt failed; with one its answer is cut. */
-  #endStream(attemptId: string, error: Error): void {
-    const open = this.#open.get(attemptId);
-    if (open?.type === "Streamed" && open.stream.isAnswered) {
-      this.#open.delete(attemptId);
+  /**
+   * Reports a failed attempt, or a truncated answer if its head has been
+   * accepted already.
+   */
+  #failStream(attemptId: string, error: Error): void {
+    const attempt = this.#openAttempts.get(attemptId);
+    if (attempt?.type === "Streamed" && attempt.stream.isHeadAccepted) {
+      this.#openAttempts.delete(attemptId);
       this.#options.dispatch({ type: "AnswerCut", attemptId });
       return;
     }
-    this.#fail(attemptId, error);
+    this.#failAttempt(attemptId, error);
   }
 
   #createRequest(effect: SendAttempt, exchange: Exchange) {
     const { request } = exchange;
-    const headers = copyHeaders(request.rawHeaders);
+    const headers = copyEndToEndHeaders(request.rawHeaders);
     headers.push(CONTEXT_HEADER, encodeContext(effect.context));
     const clock = effect.peer === "node" ? this.#options.clock : undefined;
     if (clock !== undefined) {
@@ -254,10 +285,11 @@
     };
   }
 
+  /** Returns the pool of the attempt's address; creates it on first use. */
   #findPool({ address, peer }: SendAttempt): Pool {
-    const known = this.#pools.get(address);
-    if (known !== undefined) {
-      return known;
+    const existing = this.#pools.get(address);
+    if (existing !== undefined) {
+      return existing;
     }
     const isTls = peer === "node" && this.#options.tls !== undefined;
     const pool = new Pool(formatOrigin(address, isTls), {
@@ -266,31 +298,31 @@
       connect: this.#connectors[peer],
       headersTimeout: 0,
       bodyTimeout: 0,
-      keepAliveTimeout: KEEP_ALIVE_MS,
-      keepAliveMaxTimeout: KEEP_ALIVE_MS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
+      keepAliveMaxTimeout: KEEP_ALIVE_TIMEOUT_MS,
     });
     this.#pools.set(address, pool);
-    pool.on("disconnect", () => this.#closeUnused(address, pool));
+    pool.on("disconnect", () => this.#closeUnusedPool(address, pool));
     return pool;
   }
 
-  /** Forgets a pool that holds no connection and no request. */
-  #closeUnused(address: string, pool: Pool): void {
+  /** Closes a pool that has no connection and no request. */
+  #closeUnusedPool(address: string, pool: Pool): void {
     const { connected, size } = pool.stats;
     if (connected === 0 && size === 0 && this.#pools.get(address) === pool) {
       this.dropConnections(address);
     }
   }
 
-  async #collect(
+  async #sendCollected(
     effect: SendAttempt,
     exchange: Exchange,
-    open: CollectedAttempt,
+    attempt: CollectedAttempt,
   ): Promise<void> {
     const { attemptId, collectBytes } = effect;
     const answer = await this.#findPool(effect).request({
       ...this.#createRequest(effect, exchange),
-      signal: open.abort.signal,
+      signal: attempt.abortController.signal,
     });
     const { statusCode } = answer;
     const head = { statusCode, headers: flattenHeaders(answer.headers) };
@@ -300,10 +332,10 @@
       answer.body.on("error", () => {}).destroy();
       throw error;
     }
-    const { source, stored } = await collectAnswer(answer, collectBytes!);
-    open.answer = source;
-    if (!this.#open.has(attemptId)) {
-      source.body.on("error", () => {}).destroy();
+    const { relayable, stored } = await collectAnswer(answer, collectBytes!);
+    attempt.answer = relayable;
+    if (!this.#openAttempts.has(attemptId)) {
+      relayable.body.on("error", () => {}).destroy();
       return;
     }
     this.#options.dispatch({
@@ -314,6 +346,10 @@
     });
   }
 
+  /**
+   * Returns the buffered body if there is one. Otherwise streams the request,
+   * enforcing the size limit itself if the length is not stated in advance.
+   */
   #createBody(
     effect: SendAttempt,
     exchange: Exchange,
@@ -327,13 +363,14 @@
     return this.#limitBody(effect, exchange);
   }
 
+  /** Streams a chunked body and fails once it exceeds `maxBodyBytes`. */
   #limitBody(effect: SendAttempt, exchange: Exchange): Readable {
     const { dispatch } = this.#options;
-    let total = 0;
-    const limit = new Transform({
+    let totalBytes = 0;
+    const limiter = new Transform({
       transform(chunk: Uint8Array, _encoding, done) {
-        total += chunk.length;
-        if (total <= effect.maxBodyBytes) {
+        totalBytes += chunk.length;
+        if (totalBytes <= effect.maxBodyBytes) {
           done(null, chunk);
           return;
         }
@@ -343,24 +380,24 @@
     });
     exchange.request.on("close", () => {
       if (!exchange.request.complete) {
-        limit.destroy(new Error("Caller left"));
+        limiter.destroy(new Error("Caller left"));
       }
     });
-    return exchange.request.pipe(limit);
+    return exchange.request.pipe(limiter);
   }
 
-  #pipe(attemptId: string, body: Readable, response: ServerResponse): void {
-    body.on("data", () => this.#watch.noteMove(attemptId));
+  #pipeBody(attemptId: string, body: Readable, response: ServerResponse): void {
+    body.on("data", () => this.#relayWatch.recordProgress(attemptId));
     body.on("error", () => {
-      if (this.#open.delete(attemptId)) {
+      if (this.#openAttempts.delete(attemptId)) {
         this.#options.dispatch({ type: "AnswerCut", attemptId });
       }
     });
     body.pipe(response);
   }
 
-  #fail(attemptId: string, error: unknown): void {
-    if (!this.#open.delete(attemptId)) {
+  #failAttempt(attemptId: string, error: unknown): void {
+    if (!this.#openAttempts.delete(attemptId)) {
       return;
     }
     this.#options.dispatch({
@@ -374,12 +411,12 @@
 }
 
 /**
- * Throws where an answer doesn't say where it ends. One that ends with its
- * connection looks the same whole and cut, so it can't be passed on as
- * complete.
+ * Throws if an answer is delimited only by the end of its connection: complete
+ * and truncated, it looks the same, so it can't be relayed as complete.
  */
 function assertFramed(head: AnswerHead, method: string): void {
-  const isFramed = method === "HEAD" || BODILESS.includes(head.statusCode) ||
+  const isFramed = method === "HEAD" ||
+    BODILESS_STATUSES.includes(head.statusCode) ||
     findHeader(head, "content-length") !== undefined ||
     findHeader(head, "transfer-encoding") !== undefined;
   if (!isFramed) {
@@ -387,7 +424,8 @@
   }
 }
 
-function readAnswer(
+/** Reads the signals that another node adds; a backend server adds none. */
+function readAttemptAnswer(
   head: AnswerHead,
   peer: SendAttempt["peer"],
 ): AttemptAnswer {
--- a/src/engine/call/node/exchange.ts
+++ b/src/engine/call/node/exchange.ts
@@ -1,21 +1,21 @@
-/** One HTTP exchange with whoever called. */
+/** One HTTP exchange with a caller: a backend server, a client or a node. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { HEADER_PREFIX } from "../common/call_context.ts";
 import type { AnswerCall } from "../common/call_events.ts";
 
-/** A request and its response, until the answer is out. */
+/** A request and its response, until the answer has been sent. */
 export interface Exchange {
   readonly id: string;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   /** Whether another node made the request. */
   readonly isFromNode: boolean;
-  /** The whole body, where it is small enough to be sent again. */
+  /** The complete body; undefined if it is too large to be buffered. */
   readonly body: Uint8Array | undefined;
 }
 
-/** Headers that belong to one connection (RFC 9110, section 7.6.1). */
-const HOP_HEADERS: ReadonlySet<string> = new Set([
+/** Headers that apply to one connection only (RFC 9110, section 7.6.1). */
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "expect",
   "host",
@@ -29,30 +29,36 @@
   "upgrade",
 ]);
 
-/** Names and values in turn, as they go on the wire. */
+/** Names and values as sent on the wire, alternating. */
 export type RawHeaders = readonly string[];
 
-/** Copies the headers that go on, without the hop's and the system's own. */
-export function copyHeaders(raw: RawHeaders): string[] {
-  const named = readConnectionNames(raw);
-  const kept: string[] = [];
+/** Copies the headers without hop-by-hop headers and this system's own. */
+export function copyEndToEndHeaders(raw: RawHeaders): string[] {
+  const connectionOptions = readConnectionOptions(raw);
+  const copied: string[] = [];
   for (let i = 0; i + 1 < raw.length; i += 2) {
     const name = raw[i]!.toLowerCase();
-    const isOurs = name.startsWith(HEADER_PREFIX);
-    if (!isOurs && !HOP_HEADERS.has(name) && !named.has(name)) {
-      kept.push(raw[i]!, raw[i + 1]!);
+    const isSystemHeader = name.startsWith(HEADER_PREFIX);
+    if (
+      !isSystemHeader && !HOP_BY_HOP_HEADERS.has(name) &&
+      !connectionOptions.has(name)
+    ) {
+      copied.push(raw[i]!, raw[i + 1]!);
     }
   }
-  return kept;
+  return copied;
 }
 
-/** Reads the path of a request target, without its query. */
+/** Returns the path of a request target, without its query. */
 export function readPath(target: string): string {
   const end = target.indexOf("?");
   return end < 0 ? target : target.slice(0, end);
 }
 
-/** Sends an answer of the node's own. */
+/**
+ * Sends an answer that the node generates itself. If the head of another
+ * answer has been sent already, closes the connection instead.
+ */
 export function writeAnswer(exchange: Exchange, answer: AnswerCall): void {
   const { request, response } = exchange;
   if (response.headersSent) {
@@ -60,21 +66,23 @@
     return;
   }
   const body = `${JSON.stringify({ message: answer.message })}\n`;
-  // Without a body, a request is answered before its parser calls it complete.
-  const isUnread = exchange.body === undefined && !request.complete;
+  // `request.complete` alone is not enough: a request without a body is
+  // answered before its parser sets it.
+  const isBodyUnread = exchange.body === undefined && !request.complete;
   response.writeHead(answer.status, {
     ...answer.headers,
     "content-type": "application/json",
     "content-length": Buffer.byteLength(body),
-    ...(isUnread ? { connection: "close" } : {}),
+    ...(isBodyUnread ? { connection: "close" } : {}),
   });
   response.end(request.method === "HEAD" ? undefined : body);
-  if (isUnread) {
+  if (isBodyUnread) {
     request.resume();
   }
 }
 
-function readConnectionNames(raw: RawHeaders): ReadonlySet<string> {
+/** Returns the lower-case header names that the Connection headers list. */
+function readConnectionOptions(raw: RawHeaders): ReadonlySet<string> {
   const names = new Set<string>();
   for (let i = 0; i + 1 < raw.length; i += 2) {
     if (raw[i]!.toLowerCase() === "connection") {
--- a/src/engine/call/node/relay_watch.ts
+++ b/src/engine/call/node/relay_watch.ts
@@ -1,45 +1,49 @@
-/** Watches relayed answers for bytes that stop coming or going. */
+/** Detects relayed answers whose bytes stop coming in or going out. */
 import type { ServerResponse } from "node:http";
 import type { NodeEvent } from "../common/call_events.ts";
 
 interface WatchedRelay {
   readonly response: ServerResponse;
-  isMoved: boolean;
-  isNew: boolean;
+  /** Whether bytes were received since the last check. */
+  hasProgressed: boolean;
+  /** Whether bytes were received since the last `AnswerQuiet`. */
+  hasProgressedSinceQuiet: boolean;
+  /** Whether the caller has stopped reading, as last reported. */
   isBlocked: boolean;
 }
 
-/** A relay without a byte between two checks is looked at. */
-const CHECK_MS = 1_000;
+/** A relay that receives no byte between two checks is reported. */
+const CHECK_INTERVAL_MS = 1_000;
 
-/** Owns the check of one node's relays. */
+/** Periodically checks the relayed answers of one node. */
 export class RelayWatch implements AsyncDisposable {
   readonly #dispatch: (event: NodeEvent) => void;
+  /** By attempt id. */
   readonly #relays = new Map<string, WatchedRelay>();
   readonly #timer: NodeJS.Timeout;
 
   constructor(dispatch: (event: NodeEvent) => void) {
     this.#dispatch = dispatch;
-    this.#timer = setInterval(() => this.#check(), CHECK_MS);
+    this.#timer = setInterval(() => this.#checkRelays(), CHECK_INTERVAL_MS);
     this.#timer.unref();
   }
 
-  /** Watches one relay until its answer is out or broken. */
+  /** Watches a relay until its response is closed. */
   add(attemptId: string, response: ServerResponse): void {
     this.#relays.set(attemptId, {
       response,
-      isMoved: true,
-      isNew: true,
+      hasProgressed: true,
+      hasProgressedSinceQuiet: true,
       isBlocked: false,
     });
     response.on("close", () => this.#relays.delete(attemptId));
   }
 
-  /** Notes that bytes of an answer came; one that isn't relayed is unknown. */
-  noteMove(attemptId: string): void {
+  /** Records that bytes were received; ignores attempts that are not watched. */
+  recordProgress(attemptId: string): void {
     const relay = this.#relays.get(attemptId);
     if (relay !== undefined) {
-      relay.isMoved = true;
+      relay.hasProgressed = true;
     }
   }
 
@@ -48,19 +52,19 @@
     return Promise.resolve();
   }
 
-  #check(): void {
+  #checkRelays(): void {
     for (const [attemptId, relay] of this.#relays) {
-      const { isMoved, response } = relay;
-      const isBlocked = !isMoved && response.writableNeedDrain;
-      relay.isNew ||= isMoved;
-      relay.isMoved = false;
+      const { hasProgressed, response } = relay;
+      const isBlocked = !hasProgressed && response.writableNeedDrain;
+      relay.hasProgressedSinceQuiet ||= hasProgressed;
+      relay.hasProgressed = false;
       if (isBlocked !== relay.isBlocked) {
         relay.isBlocked = isBlocked;
         this.#dispatch({ type: "AnswerBlocked", attemptId, isBlocked });
       }
-      if (!isMoved && !isBlocked) {
-        const { isNew } = relay;
-        relay.isNew = false;
+      if (!hasProgressed && !isBlocked) {
+        const { hasProgressedSinceQuiet: isNew } = relay;
+        relay.hasProgressedSinceQuiet = false;
         this.#dispatch({ type: "AnswerQuiet", attemptId, isNew });
       }
     }
