--- a/src/engine/call/node/backend_probe.ts
+++ b/src/engine/call/node/backend_probe.ts
@@ -1,12 +1,13 @@
-/** Tries whether a backend server takes connections. */
+/** Probes whether a backend server accepts connections. */
 import { connect } from "node:net";
 import { parseAddress } from "../../../base/node/listen.ts";
 
 const PROBE_TIMEOUT_MS = 500;
 
 /**
- * Opens a connection and closes it. False only where it is refused: a process
- * that is slow to take connections has not crashed.
+ * Opens a connection and closes it. Resolves to false only if connecting
+ * fails with an error; a time-out counts as alive, because a process that is
+ * slow to accept connections has not crashed.
  */
 export function probeBackend(address: string): Promise<boolean> {
   const { host, port } = parseAddress(address)!;
--- a/src/engine/call/node/call_reading.ts
+++ b/src/engine/call/node/call_reading.ts
@@ -1,4 +1,4 @@
-/** Reads what the reducers need of a request from its head and body. */
+/** Converts an HTTP request into the event that the reducers handle. */
 import { createHash } from "node:crypto";
 import type { IncomingMessage } from "node:http";
 import { CONTEXT_HEADER } from "../common/call_context.ts";
@@ -6,21 +6,22 @@
 import { readPath } from "./exchange.ts";
 import type { Exchange } from "./exchange.ts";
 
-/** A request as it arrived. */
-export type ArrivedCall = Omit<Exchange, "id"> & {
-  /** Length of the body; undefined where it isn't said. */
+/** A received request that has no exchange id yet. */
+export type IncomingCall = Omit<Exchange, "id"> & {
+  /** Length of the body; undefined if the request does not state it. */
   readonly bodyBytes: number | undefined;
 };
 
-const MAX_CALLER_LENGTH = 64;
+/** A longer `x-caller-id` is ignored. */
+const MAX_CALLER_ID_LENGTH = 64;
 
-/** Creates what the reducers are told of a call. */
+/** Creates the event that reports a call to the reducers. */
 export function createCallReceived(
   id: string,
   listener: Listener,
-  arrived: ArrivedCall,
+  incoming: IncomingCall,
 ): CallReceived {
-  const { request, body, bodyBytes } = arrived;
+  const { request, body, bodyBytes } = incoming;
   const context = request.headers[CONTEXT_HEADER];
   return {
     type: "CallReceived",
@@ -32,14 +33,15 @@
     bodyBytes,
     isReplayable: body !== undefined,
     admissionKey: listener === "edge" ? readAdmissionKey(request) : undefined,
-    ...(listener === "edge" ? readSender(request) : {}),
-    ...readDigest(request, body),
+    ...(listener === "edge" ? readResendIdentity(request) : {}),
+    ...computeRequestDigest(request, body),
   };
 }
 
 /**
- * What names a caller: the key of its request, which its own resends share,
- * else its connection; an address alone would be one name for a whole shop.
+ * Returns the idempotency key of the request, which its resends share, or else
+ * the remote address and port. The address alone would not do: clients of one
+ * site that share an address would all get the same key.
  */
 function readAdmissionKey(request: IncomingMessage): string | undefined {
   const key = request.headers["idempotency-key"];
@@ -47,22 +49,25 @@
   return typeof key === "string" ? key : `${remoteAddress}:${remotePort}`;
 }
 
-/** What its caller's resends of a request are recognised by. */
-function readSender(
+/** Returns what identifies a request and the resends that its caller makes. */
+function readResendIdentity(
   { headers, socket, url }: IncomingMessage,
 ): Pick<CallReceived, "caller" | "requestId"> {
-  const name = headers["x-caller-id"];
-  const isNamed = typeof name === "string" && name !== "" &&
-    name.length <= MAX_CALLER_LENGTH;
-  const caller = isNamed ? `id ${name}` : `at ${socket.remoteAddress}`;
+  const callerId = headers["x-caller-id"];
+  const isUsable = typeof callerId === "string" && callerId !== "" &&
+    callerId.length <= MAX_CALLER_ID_LENGTH;
+  const caller = isUsable ? `id ${callerId}` : `at ${socket.remoteAddress}`;
   const id = headers["x-request-id"];
   return typeof id === "string" && id !== ""
     ? { caller, requestId: `${url} ${id}` }
     : { caller };
 }
 
-/** The digest is of the length alone where the body isn't held whole. */
-function readDigest(
+/**
+ * Hashes method, target and body. If the body is not buffered, hashes its
+ * Content-Length in its place.
+ */
+function computeRequestDigest(
   request: IncomingMessage,
   body: Uint8Array | undefined,
 ): Pick<CallReceived, "requestKey" | "digest"> {
@@ -76,7 +81,10 @@
     : { digest, requestKey: { key, fingerprint: digest } };
 }
 
-/** Reads Content-Length; 0 without a body, undefined for a chunked one. */
+/**
+ * Returns the length of the body in bytes: 0 without a body, undefined if it
+ * is chunked.
+ */
 export function readBodyBytes(request: IncomingMessage): number | undefined {
   if (request.headers["transfer-encoding"] !== undefined) {
     return undefined;
@@ -84,17 +92,20 @@
   return Number(request.headers["content-length"] ?? 0);
 }
 
-/** Collects a body of known length whole. */
+/**
+ * Buffers a body of known length and passes it to `onBody`, synchronously if
+ * it is empty. Never calls `onBody` if the request is cut off.
+ */
 export function collectBody(
   request: IncomingMessage,
   bodyBytes: number,
-  accept: (body: Uint8Array) => void,
+  onBody: (body: Uint8Array) => void,
 ): void {
   if (bodyBytes === 0) {
-    accept(new Uint8Array(0));
+    onBody(new Uint8Array(0));
     return;
   }
   const chunks: Uint8Array[] = [];
   request.on("data", (chunk: Uint8Array) => chunks.push(chunk));
-  request.on("end", () => accept(Buffer.concat(chunks)));
+  request.on("end", () => onBody(Buffer.concat(chunks)));
 }
--- a/src/engine/call/node/call_server.ts
+++ b/src/engine/call/node/call_server.ts
@@ -1,4 +1,7 @@
-/** The listeners of a node: HTTP in, events out, effects carried out. */
+/**
+ * The HTTP listeners of a node: converts requests into events and performs the
+ * effects that concern them.
+ */
 import { randomBytes } from "node:crypto";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import type { Socket } from "node:net";
@@ -34,28 +37,34 @@
   createCallReceived,
   readBodyBytes,
 } from "./call_reading.ts";
-import type { ArrivedCall } from "./call_reading.ts";
+import type { IncomingCall } from "./call_reading.ts";
 import { writeAnswer } from "./exchange.ts";
 import type { Exchange } from "./exchange.ts";
 
-/** What the listeners are built from. */
+/** Options of a `CallServer`. */
 export interface CallServerOptions {
   readonly listeners: Readonly<Record<Listener, ListenAddress>>;
   readonly dispatch: (event: NodeEvent) => void;
+  /** Delays requests while the event loop lags. */
   readonly loop: CallLoop;
-  /** A connection was accepted; more may wait in a listener's queue. */
+  /** Called for each accepted connection; more may be in the accept queue. */
   readonly noteConnection: () => void;
+  /** Delays the first request of each connection. */
   readonly firstRequests: FirstRequestQueue;
-  /** Most connections to one backend server. */
+  /** Maximum number of connections to one address. */
   readonly connections: number;
-  /** Presented on ingress, which then takes only nodes of the authority. */
+  /**
+   * Certificate of the ingress listener, which then requires its clients to
+   * have one of the same authority. Undefined for plain text.
+   */
   readonly tls?: TlsKeys | undefined;
-  /** Whether callers reach the edge by TLS too. */
+  /** Whether the edge listener uses TLS too; false by default. */
   readonly isEdgeTls?: boolean;
+  /** Exchanged with other nodes in the clock header. */
   readonly clock?: ProcessClock | undefined;
 }
 
-/** Effects that concern exchanges and attempts. */
+/** Effects that a `CallServer` performs. */
 export type CallEffect = Extract<NodeEffect, {
   type:
     | "AnswerCall"
@@ -70,24 +79,31 @@
     | "ProbeBackend";
 }>;
 
-/** Largest body that is held whole so that it can be sent again. */
-const REPLAY_BYTES = 64 * 1024;
-/** Largest message from another node. */
-const MAX_PEER_BYTES = 256 * 1024;
-const KEEP_ALIVE_MS = 60_000;
+/** A request body up to this size is buffered so that it can be resent. */
+const MAX_REPLAYABLE_BODY_BYTES = 64 * 1024;
+/** Maximum size of a message from another node. */
+const MAX_PEER_MESSAGE_BYTES = 256 * 1024;
+/** Idle connections are closed after this time. */
+const KEEP_ALIVE_TIMEOUT_MS = 60_000;
 
-/** Owns the three listeners and the exchanges on them. */
+/** Owns the three listeners and the exchanges received on them. */
 export class CallServer implements AsyncDisposable {
   readonly #options: CallServerOptions;
   readonly #sender: AttemptSender;
+  /** By exchange id. */
   readonly #exchanges = new Map<string, Exchange>();
+  /** Random, so that exchange ids differ between process instances. */
   readonly #idPrefix = randomBytes(6).toString("hex");
   readonly #servers: Server[] = [];
-  #nextId = 0;
-  readonly #asks = new Map<number, (reply: PeerReply) => void>();
-  #nextAsk = 0;
-  /** Connections of which what lay unread when they were accepted is read. */
-  readonly #readSockets = new WeakSet<Socket>();
+  #nextExchangeNumber = 0;
+  /** Callbacks that send the reply to a peer message, by its `askId`. */
+  readonly #replyCallbacks = new Map<number, (reply: PeerReply) => void>();
+  #nextAskId = 0;
+  /**
+   * Connections that have delivered the bytes which were unread when they were
+   * accepted: their next request need not wait in `firstRequests`.
+   */
+  readonly #caughtUpSockets = new WeakSet<Socket>();
   #isDraining = false;
 
   constructor(options: CallServerOptions) {
@@ -102,10 +118,10 @@
     for (const name of ["ingress", "egress", "edge"] as const) {
       const server = createServer({
         ...this.#createTlsOptions(name),
-        keepAliveTimeout: KEEP_ALIVE_MS,
+        keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
         requestTimeout: 0,
       }, (request, response) => {
-        this.#receive(name, request, response);
+        this.#receiveRequest(name, request, response);
       });
       server.on("connection", this.#options.noteConnection);
       this.#servers.push(server);
@@ -113,7 +129,7 @@
     }
   }
 
-  /** Egress is for the local backend server and stays plain. */
+  /** The egress listener serves the local backend server in plain text. */
   #createTlsOptions(listener: Listener) {
     const { tls, isEdgeTls = false } = this.#options;
     const isTls = listener === "ingress" || (listener === "edge" && isEdgeTls);
@@ -123,7 +139,7 @@
     };
   }
 
-  /** Carries out one effect. */
+  /** Performs one effect; ignores those of an exchange that has ended. */
   perform(effect: CallEffect): void {
     if (effect.type === "AbortAttempt") {
       this.#sender.abort(effect.attemptId);
@@ -153,24 +169,24 @@
     }
     const exchange = this.#exchanges.get(effect.exchangeId);
     if (exchange !== undefined) {
-      this.#performOn(exchange, effect);
+      this.#performOnExchange(exchange, effect);
     }
   }
 
-  /** Exchanges whose answer is not out yet. */
+  /** Number of exchanges whose answer has not been sent completely. */
   get openCount(): number {
     return this.#exchanges.size;
   }
 
   /**
-   * Ends each connection from outside with its next answer, so that none is
-   * closed under a request that is on its way.
+   * From now on closes each edge or ingress connection after its next answer,
+   * so that no connection is closed while a request is in transit on it.
    */
   drain(): void {
     this.#isDraining = true;
   }
 
-  /** Stops taking connections; those that are idle are closed. */
+  /** Stops accepting connections and closes the idle ones. */
   close(): void {
     for (const server of this.#servers) {
       server.close();
@@ -186,7 +202,7 @@
     await this.#sender[Symbol.asyncDispose]();
   }
 
-  #performOn(
+  #performOnExchange(
     exchange: Exchange,
     effect: Exclude<
       CallEffect,
@@ -205,7 +221,7 @@
       case "AnswerCall":
         writeAnswer(exchange, {
           ...effect,
-          headers: this.#addClock(exchange, effect.headers),
+          headers: this.#addClockHeader(exchange, effect.headers),
         });
         return;
       case "SendAttempt":
@@ -215,7 +231,7 @@
         this.#sender.relay(
           effect.attemptId,
           exchange,
-          this.#addClock(exchange, effect.headers),
+          this.#addClockHeader(exchange, effect.headers),
         );
         return;
       case "DropExchange":
@@ -224,15 +240,15 @@
     }
   }
 
-  /** An answer to a node says the clock. */
-  #addClock(exchange: Exchange, headers: SignalHeaders): SignalHeaders {
+  /** Adds this process's clock to an answer that goes to another node. */
+  #addClockHeader(exchange: Exchange, headers: SignalHeaders): SignalHeaders {
     const { clock } = this.#options;
     return clock === undefined || !exchange.isFromNode
       ? headers
       : { ...headers, [CLOCK_HEADER]: encodeClock(clock.read()) };
   }
 
-  #receive(
+  #receiveRequest(
     listener: Listener,
     request: IncomingMessage,
     response: ServerResponse,
@@ -246,23 +262,26 @@
       this.#options.clock?.observe(request.headers[CLOCK_HEADER]);
     }
     if (isFromNode && request.url === PEER_PATH) {
-      this.#receivePeer(request, response);
+      this.#receivePeerMessage(request, response);
       return;
     }
-    const accept = (body: Uint8Array | undefined) => {
-      const arrived = { request, response, isFromNode, body, bodyBytes };
-      this.#accept(listener, arrived);
+    const acceptBody = (body: Uint8Array | undefined) => {
+      const incoming = { request, response, isFromNode, body, bodyBytes };
+      this.#acceptCall(listener, incoming);
     };
-    if (bodyBytes === undefined || bodyBytes > REPLAY_BYTES) {
-      accept(undefined);
+    if (bodyBytes === undefined || bodyBytes > MAX_REPLAYABLE_BODY_BYTES) {
+      acceptBody(undefined);
       return;
     }
-    collectBody(request, bodyBytes, accept);
+    collectBody(request, bodyBytes, acceptBody);
   }
 
-  #receivePeer(request: IncomingMessage, response: ServerResponse): void {
+  #receivePeerMessage(
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): void {
     const bodyBytes = readBodyBytes(request) ?? Infinity;
-    if (request.method !== "POST" || bodyBytes > MAX_PEER_BYTES) {
+    if (request.method !== "POST" || bodyBytes > MAX_PEER_MESSAGE_BYTES) {
       response.writeHead(400, { connection: "close" }).end();
       return;
     }
@@ -272,8 +291,8 @@
         response.writeHead(400).end();
         return;
       }
-      const askId = this.#nextAsk++;
-      this.#asks.set(askId, (reply) => {
+      const askId = this.#nextAskId++;
+      this.#replyCallbacks.set(askId, (reply) => {
         const bytes = encodeMessage(reply);
         const { clock } = this.#options;
         response.writeHead(200, {
@@ -281,56 +300,57 @@
           ...(clock && { [CLOCK_HEADER]: encodeClock(clock.read()) }),
         }).end(bytes);
       });
-      response.on("close", () => this.#asks.delete(askId));
+      response.on("close", () => this.#replyCallbacks.delete(askId));
       this.#options.dispatch({ type: "PeerAsked", askId, message });
     });
   }
 
-  /** Asks this node itself, without a connection. */
+  /** Sends a message to this node itself, without a connection. */
   ask(message: PeerMessage): Promise<PeerReply> {
-    const askId = this.#nextAsk++;
+    const askId = this.#nextAskId++;
     return new Promise((resolve) => {
-      this.#asks.set(askId, resolve);
+      this.#replyCallbacks.set(askId, resolve);
       this.#options.dispatch({ type: "PeerAsked", askId, message });
     });
   }
 
   #answerPeer(askId: number, reply: PeerReply): void {
-    const answer = this.#asks.get(askId);
-    this.#asks.delete(askId);
-    answer?.(reply);
+    const callback = this.#replyCallbacks.get(askId);
+    this.#replyCallbacks.delete(askId);
+    callback?.(reply);
   }
 
   /**
-   * A process that is behind, or in whose listener connections wait, reads a
-   * request before a close that came first: a call is decided on once that
-   * close has been read.
+   * Dispatches a call unless its caller has disconnected. If the event loop
+   * lags or connections are queued in a listener, a request is read before the
+   * close of its connection even if both were received earlier; therefore
+   * waits until such a close would have been read.
    */
-  #accept(listener: Listener, arrived: ArrivedCall): void {
-    const { request, response, isFromNode, body } = arrived;
+  #acceptCall(listener: Listener, incoming: IncomingCall): void {
+    const { request, response, isFromNode, body } = incoming;
     const { dispatch, loop, firstRequests } = this.#options;
-    const id = `${this.#idPrefix}-${(this.#nextId++).toString(36)}`;
+    const id = `${this.#idPrefix}-${(this.#nextExchangeNumber++).toString(36)}`;
     let isClosed = false;
-    let isTold = false;
+    let isDispatched = false;
     response.on("close", () => {
       isClosed = true;
       this.#exchanges.delete(id);
-      if (isTold && !response.writableFinished) {
+      if (isDispatched && !response.writableFinished) {
         dispatch({ type: "CallerLeft", exchangeId: id });
       }
     });
-    const decide = () => {
-      this.#readSockets.add(request.socket);
+    const dispatchCall = () => {
+      this.#caughtUpSockets.add(request.socket);
       if (!isClosed && !request.socket.readableEnded) {
-        isTold = true;
+        isDispatched = true;
         this.#exchanges.set(id, { id, request, response, isFromNode, body });
-        dispatch(createCallReceived(id, listener, arrived));
+        dispatch(createCallReceived(id, listener, incoming));
       }
     };
-    if (this.#readSockets.has(request.socket)) {
-      loop.runOnceRead(decide);
+    if (this.#caughtUpSockets.has(request.socket)) {
+      loop.runOnceRead(dispatchCall);
     } else {
-      firstRequests.hold(decide);
+      firstRequests.hold(dispatchCall);
     }
   }
 }
