--- a/src/engine/call/test/downstream_time_test.ts
+++ b/src/engine/call/test/downstream_time_test.ts
@@ -1,4 +1,4 @@
-/** Slow services below don't count as slowness of the server that calls. */
+/** Time spent waiting for downstream calls must not lower a server's limit. */
 import { expect } from "chai";
 import { computeCapacity } from "../../admission/common/admission_capacity.ts";
 import { encodeContext } from "../common/call_context.ts";
@@ -9,17 +9,17 @@
 import type { SendAttempt } from "./node_network.ts";
 
 const SLOTS = 8;
-const OWN_MS = 20;
-const BELOW_MS = 20;
-const HEAD = { status: 200, tokens: 0, isDraining: false };
+const OWN_TIME_MS = 20;
+const DOWNSTREAM_TIME_MS = 20;
+const ANSWER = { status: 200, tokens: 0, isDraining: false };
 const SELF = { ...createMember(0, "head"), slots: SLOTS };
 const ROWS = [
   { ...ROW, kind: "head", service: "head", path: "/head" },
   { ...ROW, kind: "below", service: "s", path: "/below" },
 ];
 
-/** A node whose backend server calls two others for each request. */
-class Head {
+/** A node whose backend server makes two downstream calls for each request. */
+class ParentNode {
   state: NodeState = createNode(SELF, ROW, [createMember(1)]);
   nowMs = 10_000;
   #count = 0;
@@ -29,19 +29,28 @@
     this.#step({ type: "TableReceived", table, isConfirmed: true });
   }
 
+  /** Concurrency limit of the backend server. */
   get capacity(): number {
     return computeCapacity(this.state.admission, this.nowMs);
   }
 
-  /** Serves one request after the other. */
-  serve(times: number, parts: { ownMs: number; belowMs: number }): void {
-    for (let n = 0; n < times; n += 1) {
-      const context = this.#call("ingress", "/head", this.#createContext());
-      this.#pass(parts.ownMs);
-      const header = encodeContext(context.context);
-      const below = [1, 2].map(() => this.#call("egress", "/below", header));
-      this.#pass(parts.belowMs);
-      [...below, context].forEach(({ attemptId }) => this.#end(attemptId));
+  /**
+   * Serves requests one after the other. Each runs for `ownMs`, then waits
+   * `downstreamMs` for two concurrent calls.
+   */
+  serve(
+    count: number,
+    durations: { ownMs: number; downstreamMs: number },
+  ): void {
+    for (let n = 0; n < count; n += 1) {
+      const parent = this.#call("ingress", "/head", this.#createContext());
+      this.#advanceClock(durations.ownMs);
+      const header = encodeContext(parent.context);
+      const children = [1, 2].map(() => this.#call("egress", "/below", header));
+      this.#advanceClock(durations.downstreamMs);
+      [...children, parent].forEach(({ attemptId }) =>
+        this.#completeAttempt(attemptId)
+      );
       this.#step({ type: "Ticked" });
     }
   }
@@ -78,13 +87,13 @@
     return effects.find((effect) => effect.type === "SendAttempt")!;
   }
 
-  #end(attemptId: string): void {
-    const answer = { ...HEAD, outcome: "ran", level: undefined } as const;
+  #completeAttempt(attemptId: string): void {
+    const answer = { ...ANSWER, outcome: "ran", level: undefined } as const;
     this.#step({ type: "AttemptAnswered", attemptId, answer });
     this.#step({ type: "AttemptEnded", attemptId });
   }
 
-  #pass(ms: number): void {
+  #advanceClock(ms: number): void {
     this.nowMs += ms;
   }
 
@@ -95,19 +104,25 @@
   }
 }
 
-describe("the limit of a server that calls others", () => {
-  it("stays where only they are slow", () => {
-    const head = new Head();
-    head.serve(300, { ownMs: OWN_MS, belowMs: BELOW_MS });
-    expect(head.capacity).to.equal(SLOTS);
-    head.serve(40, { ownMs: OWN_MS, belowMs: 30 * BELOW_MS });
-    expect(head.capacity).to.equal(SLOTS);
+describe("the limit of a backend server that makes downstream calls", () => {
+  it("is unchanged if only the downstream calls are slow", () => {
+    const node = new ParentNode();
+    node.serve(300, { ownMs: OWN_TIME_MS, downstreamMs: DOWNSTREAM_TIME_MS });
+    expect(node.capacity).to.equal(SLOTS);
+    node.serve(40, {
+      ownMs: OWN_TIME_MS,
+      downstreamMs: 30 * DOWNSTREAM_TIME_MS,
+    });
+    expect(node.capacity).to.equal(SLOTS);
   });
 
-  it("falls where it is slow itself", () => {
-    const head = new Head();
-    head.serve(300, { ownMs: OWN_MS, belowMs: BELOW_MS });
-    head.serve(40, { ownMs: 30 * OWN_MS, belowMs: BELOW_MS });
-    expect(head.capacity).to.be.at.most(SLOTS / 2);
+  it("falls if the backend server itself is slow", () => {
+    const node = new ParentNode();
+    node.serve(300, { ownMs: OWN_TIME_MS, downstreamMs: DOWNSTREAM_TIME_MS });
+    node.serve(40, {
+      ownMs: 30 * OWN_TIME_MS,
+      downstreamMs: DOWNSTREAM_TIME_MS,
+    });
+    expect(node.capacity).to.be.at.most(SLOTS / 2);
   });
 });
--- a/src/engine/call/test/drain_reducer_test.ts
+++ b/src/engine/call/test/drain_reducer_test.ts
@@ -1,4 +1,4 @@
-/** What a node does when another one, or it itself, is leaving. */
+/** Behaviour of a node while another node, or the node itself, is draining. */
 import { expect } from "chai";
 import { createMember } from "../../routing/test/fakes.ts";
 import { createRow } from "../../table/test/table_rows.ts";
@@ -29,14 +29,15 @@
   bodyBytes: 0,
   isReplayable: true,
 };
-const DRAINING: AttemptAnswer = {
+/** The refusal of a draining node. */
+const DRAINING_REFUSAL: AttemptAnswer = {
   status: 503,
   outcome: "not-run",
   tokens: 0,
   isDraining: true,
 };
 
-/** A node that has taken one call; keeps the effects of the last step. */
+/** A node that has received one call; keeps the effects of the last step. */
 class CallingNode {
   state: NodeState;
   effects: readonly NodeEffect[] = [];
@@ -59,11 +60,12 @@
     this.effects = step.effects;
   }
 
-  /** The attempt that the last step sent, if any. */
-  get sent() {
+  /** The attempt that the last step sent; undefined if it sent none. */
+  get sentAttempt() {
     return this.effects.find((effect) => effect.type === "SendAttempt");
   }
 
+  /** The answer that the last step sent; undefined if it sent none. */
   get answer() {
     return this.effects.find((effect) =>
       effect.type === "AnswerCall" || effect.type === "RelayAnswer"
@@ -76,12 +78,16 @@
     const node = new CallingNode();
     const addresses = new Set<string>();
     for (let i = 0; i <= MAX_REROUTES; i++) {
-      const { attemptId, address } = node.sent!;
+      const { attemptId, address } = node.sentAttempt!;
       addresses.add(address);
-      node.apply({ type: "AttemptAnswered", attemptId, answer: DRAINING });
+      node.apply({
+        type: "AttemptAnswered",
+        attemptId,
+        answer: DRAINING_REFUSAL,
+      });
     }
     expect(addresses.size).to.equal(MAX_REROUTES + 1);
-    expect(node.sent).to.equal(undefined);
+    expect(node.sentAttempt).to.equal(undefined);
     expect(node.answer).to.deep.include({
       headers: { "basilpin-outcome": "not-run" },
     });
@@ -89,49 +95,49 @@
 
   it("goes elsewhere where the connection is refused", () => {
     const node = new CallingNode();
-    const first = node.sent!;
+    const first = node.sentAttempt!;
     const { attemptId } = first;
     const reason = "refused";
     node.apply({ type: "AttemptFailed", attemptId, isSent: false, reason });
-    expect(node.sent!.address).not.to.equal(first.address);
+    expect(node.sentAttempt!.address).not.to.equal(first.address);
   });
 
-  it("does not where it may have run, was refused by load, or is gone", () => {
+  it("does not if it may have run, was refused under load, or can't be resent", () => {
     const lost = new CallingNode();
     lost.apply({
       type: "AttemptFailed",
-      attemptId: lost.sent!.attemptId,
+      attemptId: lost.sentAttempt!.attemptId,
       isSent: true,
       reason: "cut",
     });
-    expect(lost.sent).to.equal(undefined);
+    expect(lost.sentAttempt).to.equal(undefined);
     const busy = new CallingNode();
-    const answer = { ...DRAINING, isDraining: false };
-    const { attemptId } = busy.sent!;
+    const answer = { ...DRAINING_REFUSAL, isDraining: false };
+    const { attemptId } = busy.sentAttempt!;
     busy.apply({ type: "AttemptAnswered", attemptId, answer });
-    expect(busy.sent).to.equal(undefined);
+    expect(busy.sentAttempt).to.equal(undefined);
     const streamed = new CallingNode("client", { isReplayable: false });
     streamed.apply({
       type: "AttemptAnswered",
-      attemptId: streamed.sent!.attemptId,
-      answer: DRAINING,
+      attemptId: streamed.sentAttempt!.attemptId,
+      answer: DRAINING_REFUSAL,
     });
-    expect(streamed.sent).to.equal(undefined);
+    expect(streamed.sentAttempt).to.equal(undefined);
   });
 });
 
-describe("drain at the leaving node", () => {
-  it("sends its own new calls elsewhere at once", () => {
+describe("drain at the draining node", () => {
+  it("routes its own new calls to other nodes immediately", () => {
     const node = new CallingNode("m-1");
     node.apply({ type: "DrainRequested" });
     for (let i = 0; i < 50; i++) {
       node.apply({ ...CALL, exchangeId: `own-${i}` });
-      expect(node.sent, `call ${i}`).not.to.equal(undefined);
+      expect(node.sentAttempt, `call ${i}`).not.to.equal(undefined);
       expect(node.state.served.has(`own-${i}.1`)).to.equal(false);
     }
   });
 
-  it("refuses new work and says so, on what it finishes too", () => {
+  it("refuses new calls and reports draining, also on answers to earlier calls", () => {
     const node = new CallingNode("m-1");
     const contextHeader = (id: string) =>
       `root="r", attempt="${id}", importance=4, hash=1, depth=0, ` +
@@ -154,11 +160,15 @@
         "basilpin-outcome": "not-run",
         "basilpin-tokens": "0",
         "basilpin-draining": "1",
-        // One second, spread by the id of the attempt.
+        // One second, spread by a hash of the attempt id.
         "retry-after": "2",
       },
     });
-    const answer = { ...DRAINING, status: 200, outcome: "ran" } as const;
+    const answer = {
+      ...DRAINING_REFUSAL,
+      status: 200,
+      outcome: "ran",
+    } as const;
     node.apply({ type: "AttemptAnswered", attemptId: "early", answer });
     expect(node.answer).to.deep.include({
       type: "RelayAnswer",
--- a/src/engine/call/test/early_refusal_test.ts
+++ b/src/engine/call/test/early_refusal_test.ts
@@ -1,4 +1,4 @@
-/** Entry nodes refuse early what the backend servers would refuse anyway. */
+/** Entry nodes refuse calls early that the called nodes would refuse anyway. */
 import { expect } from "chai";
 import type { AdmissionLevel } from "../../admission/common/admission_level.ts";
 import { LEVEL_TTL_MS } from "../../admission/common/level_view.ts";
@@ -45,29 +45,30 @@
 const TRANSFER = { ...ROW, kind: "transfer", path: "/move", importance: 9 };
 const HOLD = { ...ROW, kind: "hold", service: "custody", path: "/hold" };
 const START_MS = 1_000_000;
-const HIGH: AdmissionLevel = { importance: 5, hash: 0 };
+const HIGH_LEVEL: AdmissionLevel = { importance: 5, hash: 0 };
 
-/** A node with one backend server to call, fed event by event. */
+/** A node that calls one other node; the test applies its events. */
 class EntryNode {
   #state: NodeState = createNodeState(SELF, "127.0.0.1:3");
   nowMs = START_MS;
-  /** Level on the last answer that was relayed. */
+  /** Level header of the last relayed answer. */
   levelHeader: string | undefined;
   #count = 0;
 
   constructor() {
     const table = { version: 1, rows: [ROW, TRANSFER, HOLD] };
-    this.send({ type: "TableReceived", table, isConfirmed: true });
+    this.apply({ type: "TableReceived", table, isConfirmed: true });
     const { service } = MEMBER;
-    this.send({ type: "MembersListed", service, members: [MEMBER] });
+    this.apply({ type: "MembersListed", service, members: [MEMBER] });
   }
 
-  send(event: NodeEvent): readonly NodeEffect[] {
+  apply(event: NodeEvent): readonly NodeEffect[] {
     const { state, effects } = reduceNode(this.#state, event, this.nowMs);
     this.#state = state;
     return effects;
   }
 
+  /** Receives a call at the edge, or on egress with a context. */
   call(path: string, contextHeader?: string): readonly NodeEffect[] {
     const listener = contextHeader === undefined ? "edge" : "egress";
     return this.#receive(listener, path, contextHeader);
@@ -79,7 +80,7 @@
     contextHeader: string | undefined,
   ): readonly NodeEffect[] {
     this.#count += 1;
-    return this.send({
+    return this.apply({
       type: "CallReceived",
       exchangeId: `call-${this.#count}`,
       listener,
@@ -91,7 +92,8 @@
     });
   }
 
-  answer(effects: readonly NodeEffect[], level?: AdmissionLevel): void {
+  /** Answers the attempt that `effects` sends. */
+  answerAttempt(effects: readonly NodeEffect[], level?: AdmissionLevel): void {
     const sent = effects.find((effect) => effect.type === "SendAttempt")!;
     const answer = {
       status: 200,
@@ -101,13 +103,13 @@
       level,
     } as const;
     const { attemptId } = sent;
-    const told = this.send({ type: "AttemptAnswered", attemptId, answer });
-    const relay = told.find((effect) => effect.type === "RelayAnswer");
+    const relayed = this.apply({ type: "AttemptAnswered", attemptId, answer });
+    const relay = relayed.find((effect) => effect.type === "RelayAnswer");
     this.levelHeader = relay?.headers[LEVEL_HEADER];
-    this.send({ type: "AttemptEnded", attemptId });
+    this.apply({ type: "AttemptEnded", attemptId });
   }
 
-  /** Has another node call the local backend server. */
+  /** Receives a call of another node for the local backend server. */
   serve(
     path: string,
     attemptId: string,
@@ -137,9 +139,9 @@
 }
 
 describe("early refusal", () => {
-  it("refuses a call under the level as not run, with a time", () => {
+  it("refuses a call below the admission level as not run, with Retry-After", () => {
     const node = new EntryNode();
-    node.answer(node.call("/bales"), HIGH);
+    node.answerAttempt(node.call("/bales"), HIGH_LEVEL);
     const effects = node.call("/bales");
     const answer = effects.find((effect) => effect.type === "AnswerCall")!;
     expect(listTypes(effects)).not.to.include("SendAttempt");
@@ -149,36 +151,41 @@
     expect(Number(answer.headers["retry-after"])).to.be.greaterThan(0);
   });
 
-  it("lets more important calls and invested work through", () => {
+  it("sends more important calls and those made for a running request", () => {
     const node = new EntryNode();
-    node.answer(node.call("/bales"), HIGH);
+    node.answerAttempt(node.call("/bales"), HIGH_LEVEL);
     expect(listTypes(node.call("/move"))).to.include("SendAttempt");
-    const child = createContext("parent");
-    expect(listTypes(node.call("/bales", child))).to.include("SendAttempt");
+    const contextHeader = createContext("parent");
+    expect(listTypes(node.call("/bales", contextHeader))).to.include(
+      "SendAttempt",
+    );
   });
 
-  it("says the level of a service that is called for a kind", () => {
+  it("reports the level of a downstream service for the kind that calls it", () => {
     const node = new EntryNode();
-    node.answer(node.serve("/hold", "parent-1"));
+    node.answerAttempt(node.serve("/hold", "parent-1"));
     expect(node.levelHeader).to.equal(undefined);
     const parent = node.serve("/hold", "parent-2");
-    node.answer(node.call("/bales", createContext("parent-2")), HIGH);
-    node.answer(parent);
+    node.answerAttempt(
+      node.call("/bales", createContext("parent-2")),
+      HIGH_LEVEL,
+    );
+    node.answerAttempt(parent);
     expect(node.levelHeader).to.equal("i=5, h=0");
     node.nowMs += LEVEL_TTL_MS;
-    node.answer(node.serve("/hold", "parent-3"));
+    node.answerAttempt(node.serve("/hold", "parent-3"));
     expect(node.levelHeader).to.equal(undefined);
   });
 
-  it("ends once an answer names no level, or none has come for a time", () => {
+  it("ends once an answer carries no level, or the last level has expired", () => {
     const node = new EntryNode();
-    const sent = [node.call("/bales"), node.call("/bales")];
-    node.answer(node.call("/bales"), HIGH);
-    // Answers to what was sent before the level rose.
-    const [early, later] = sent;
-    node.answer(early!);
+    const open = [node.call("/bales"), node.call("/bales")];
+    node.answerAttempt(node.call("/bales"), HIGH_LEVEL);
+    // Both attempts were sent before the level rose.
+    const [early, later] = open;
+    node.answerAttempt(early!);
     expect(listTypes(node.call("/bales"))).to.include("SendAttempt");
-    node.answer(later!, HIGH);
+    node.answerAttempt(later!, HIGH_LEVEL);
     expect(listTypes(node.call("/bales"))).to.include("CallRefused");
     node.nowMs += LEVEL_TTL_MS;
     expect(listTypes(node.call("/bales"))).to.include("SendAttempt");
@@ -207,18 +214,18 @@
     });
   });
 
-  it("answers 429 over the rate of a row", () => {
+  it("answers 429 above the rate limit of a row", () => {
     const node = new EntryNode();
     const answers = Array.from({ length: 300 }, (_, n) => {
       const id = `served-${n}`;
       const effects = node.serve("/hold", id);
       if (effects.some((effect) => effect.type === "SendAttempt")) {
-        node.answer(effects);
+        node.answerAttempt(effects);
       }
       return effects.find((effect) => effect.type === "AnswerCall");
     });
     const refused = answers.filter((answer) => answer !== undefined);
-    // A quarter of a second's worth may come at once.
+    // The burst allowance is the rate of a quarter of a second.
     expect(refused).to.have.length(50);
     expect(refused.map(({ status }) => status)).to.include.members([429]);
   });
--- a/src/engine/call/test/table_intake_test.ts
+++ b/src/engine/call/test/table_intake_test.ts
@@ -1,4 +1,4 @@
-/** Which tables a starting node takes. */
+/** Which tables a starting node puts in force. */
 import { expect } from "chai";
 import type { Table } from "../../table/common/table_row.ts";
 import { reduceNode } from "../common/node_reducer.ts";
@@ -48,13 +48,13 @@
     expect(describeTable(later.state)).to.equal("7 confirmed");
   });
 
-  it("takes the highest one found where none is current, and says so", () => {
+  it("uses the highest version received if none is confirmed in time, as unconfirmed", () => {
     const first = receive(start, 5, false, 0);
     const second = receive(first, 7, false, 10);
     const third = receive(second, 6, false, 20);
-    const due = reduceNode(third, { type: "Ticked" }, CONFIRMED_WAIT_MS);
-    expect(describeTable(due.state)).to.equal("7 unconfirmed");
-    const confirmed = receive(due.state, 7, true, CONFIRMED_WAIT_MS + 1);
+    const timedOut = reduceNode(third, { type: "Ticked" }, CONFIRMED_WAIT_MS);
+    expect(describeTable(timedOut.state)).to.equal("7 unconfirmed");
+    const confirmed = receive(timedOut.state, 7, true, CONFIRMED_WAIT_MS + 1);
     expect(describeTable(confirmed)).to.equal("7 confirmed");
   });
 
