--- a/src/engine/call/test/load_hint_test.ts
+++ b/src/engine/call/test/load_hint_test.ts
@@ -1,4 +1,4 @@
-/** The platform's hints: from a node's endpoints to its callers' views. */
+/** Load hints: from a backend server's endpoints to the views of its callers. */
 import { expect } from "chai";
 import {
   computeLoadHint,
@@ -14,27 +14,28 @@
 const MEMBER = createMember(1);
 const START_MS = 1_000_000;
 
-class HintedNode {
+class TestNode {
   state: NodeState;
-  #calls = 0;
+  #callCount = 0;
 
   constructor(number: number) {
     this.state = createNode(createMember(number), ROW, [MEMBER]);
   }
 
-  send(event: NodeEvent): readonly NodeEffect[] {
+  apply(event: NodeEvent): readonly NodeEffect[] {
     const { state, effects } = reduceNode(this.state, event, START_MS);
     this.state = state;
     return effects;
   }
 
+  /** Receives a call; returns the attempt that it sends. */
   receive(
     listener: "edge" | "ingress",
     contextHeader?: string,
   ): Extract<NodeEffect, { type: "SendAttempt" }> {
-    const effects = this.send({
+    const effects = this.apply({
       type: "CallReceived",
-      exchangeId: `x${this.#calls++}`,
+      exchangeId: `x${this.#callCount++}`,
       listener,
       method: "GET",
       path: "/any",
@@ -46,27 +47,28 @@
   }
 }
 
-/** Has `served` answer one call of `caller`; returns the header. */
-function passCall(caller: HintedNode, served: HintedNode): string | undefined {
+/** Has `served` answer one call of `caller`; returns the load header. */
+function completeCall(caller: TestNode, served: TestNode): string | undefined {
   const { context } = caller.receive("edge");
   const { attemptId } = served.receive("ingress", encodeContext(context));
   const head = { status: 200, outcome: "ran", tokens: 0 } as const;
-  const effects = served.send({
+  const effects = served.apply({
     type: "AttemptAnswered",
     attemptId,
     answer: { ...head, isDraining: false },
   });
-  served.send({ type: "AttemptEnded", attemptId });
+  served.apply({ type: "AttemptEnded", attemptId });
   const relay = effects.find((effect) => effect.type === "RelayAnswer")!;
   const header = relay.headers[LOAD_HEADER];
   const hintedLoad = decodeLoadHint(header ?? "");
   const answer = { ...head, isDraining: false, hintedLoad };
-  caller.send({ type: "AttemptAnswered", attemptId, answer });
-  caller.send({ type: "AttemptEnded", attemptId });
+  caller.apply({ type: "AttemptAnswered", attemptId, answer });
+  caller.apply({ type: "AttemptEnded", attemptId });
   return header;
 }
 
-function readView(caller: HintedNode) {
+/** Returns the caller's view of the called member. */
+function getView(caller: TestNode) {
   return caller.state.routing.services.get(ROW.service)!.views[0]!;
 }
 
@@ -83,39 +85,39 @@
     [{ isHealthy: true, load: NaN }, undefined],
   ];
   for (const [hint, load] of hints) {
-    it(`are ${load} of ${hint.isHealthy}, ${hint.load}`, () => {
+    it(`are ${load} if isHealthy is ${hint.isHealthy}, load ${hint.load}`, () => {
       const type = "HintReceived";
       expect(computeLoadHint({ type, ...hint })).to.equal(load);
     });
   }
 
-  it("are read from headers only as whole per cent", () => {
+  it("are accepted from headers only as whole per cent", () => {
     const texts = ["", "0", "100", "101", "-1", "5.5", "1e2", "many"];
     expect(texts.map(decodeLoadHint)).to.deep.equal(
       [undefined, 0, 100, ...Array(5).fill(undefined)],
     );
   });
 
-  it("go with answers into the callers' views, and end there", () => {
-    const caller = new HintedNode(0);
-    const served = new HintedNode(1);
-    expect(passCall(caller, served)).to.equal(undefined);
-    served.send({ type: "HintReceived", isHealthy: true, load: 0.3 });
-    expect(passCall(caller, served)).to.equal("30");
-    expect(readView(caller).hintedLoad).to.equal(30);
-    served.send({ type: "HintReceived", isHealthy: true, load: undefined });
-    passCall(caller, served);
-    expect(readView(caller).hintedLoad).to.equal(undefined);
+  it("reach callers' views with answers, and are removed there", () => {
+    const caller = new TestNode(0);
+    const served = new TestNode(1);
+    expect(completeCall(caller, served)).to.equal(undefined);
+    served.apply({ type: "HintReceived", isHealthy: true, load: 0.3 });
+    expect(completeCall(caller, served)).to.equal("30");
+    expect(getView(caller).hintedLoad).to.equal(30);
+    served.apply({ type: "HintReceived", isHealthy: true, load: undefined });
+    completeCall(caller, served);
+    expect(getView(caller).hintedLoad).to.equal(undefined);
   });
 
-  it("take no backend server out, however unhealthy it is said to be", () => {
-    const caller = new HintedNode(0);
-    const served = new HintedNode(1);
-    served.send({ type: "HintReceived", isHealthy: false, load: undefined });
+  it("never eject a backend server, however unhealthy it is reported", () => {
+    const caller = new TestNode(0);
+    const served = new TestNode(1);
+    served.apply({ type: "HintReceived", isHealthy: false, load: undefined });
     for (let n = 0; n < 50; n += 1) {
-      expect(passCall(caller, served)).to.equal("100");
+      expect(completeCall(caller, served)).to.equal("100");
     }
-    const { ejection, failures, refusals } = readView(caller);
+    const { ejection, failures, refusals } = getView(caller);
     expect(ejection).to.equal(undefined);
     expect([failures, refusals]).to.deep.equal([0, 0]);
   });
--- a/src/engine/call/test/resend_test.ts
+++ b/src/engine/call/test/resend_test.ts
@@ -1,4 +1,4 @@
-/** A caller's resends at the edge of a node. */
+/** Resends by a caller, received on the edge listener of a node. */
 import { expect } from "chai";
 import { RESEND_FLOOR } from "../../retry/common/resend_budget.ts";
 import type { VersionedRow } from "../../table/common/table_row.ts";
@@ -10,10 +10,10 @@
 const KEYED = { requestKey: { key: "k", fingerprint: "f" } };
 const WITH_ID = { requestId: "/any r-1" };
 
-/** Sends `count` requests, each with its own exchange, to a new node. */
+/** Receives `count` calls at a new node; returns the effects of each. */
 function receiveAll(
   count: number,
-  sent: Partial<CallReceived>,
+  change: Partial<CallReceived>,
   row: VersionedRow = ROW,
 ): readonly (readonly NodeEffect[])[] {
   let state = createNode(createMember(0), row, [createMember(1)]);
@@ -28,7 +28,7 @@
       bodyBytes: 0,
       isReplayable: true,
       caller: "a",
-      ...sent,
+      ...change,
     }, START_MS);
     state = step.state;
     return step.effects;
@@ -39,14 +39,14 @@
   return effects.find((effect) => effect.type === "AnswerCall");
 }
 
-function countSent(steps: readonly (readonly NodeEffect[])[]): number {
+function countAttempts(steps: readonly (readonly NodeEffect[])[]): number {
   return steps.flat().filter(({ type }) => type === "SendAttempt").length;
 }
 
 describe("a caller's resends at the edge", () => {
   it("go on within the budget, then are refused at once, with a time", () => {
     const steps = receiveAll(RESEND_FLOOR + 2, WITH_ID);
-    expect(countSent(steps)).to.equal(RESEND_FLOOR + 1);
+    expect(countAttempts(steps)).to.equal(RESEND_FLOOR + 1);
     const effects = steps.at(-1)!;
     const answer = findAnswer(effects)!;
     expect(answer.status).to.equal(429);
@@ -64,21 +64,21 @@
     });
   });
 
-  it("are never refused where they ask for the answer of a key", () => {
+  it("are never refused if they request the answer of an idempotency key", () => {
     const row: VersionedRow = { ...ROW, idempotent: false, key: "required" };
     const count = 10 * RESEND_FLOOR;
-    expect(countSent(receiveAll(count, KEYED, row))).to.equal(count);
+    expect(countAttempts(receiveAll(count, KEYED, row))).to.equal(count);
   });
 
-  const COUNT = 50;
-  it("are not guessed where the request has no id or the call no caller", () => {
-    expect(countSent(receiveAll(COUNT, {}))).to.equal(COUNT);
-    const inner = {
+  const CALL_COUNT = 50;
+  it("are not detected without a request id or without a caller", () => {
+    expect(countAttempts(receiveAll(CALL_COUNT, {}))).to.equal(CALL_COUNT);
+    const egressCall = {
       ...WITH_ID,
       listener: "egress",
       caller: undefined,
     } as const;
-    const steps = receiveAll(COUNT, inner);
-    expect(countSent(steps)).to.equal(COUNT);
+    const steps = receiveAll(CALL_COUNT, egressCall);
+    expect(countAttempts(steps)).to.equal(CALL_COUNT);
   });
 });
