--- a/src/engine/call/test/entry_retry_test.ts
+++ b/src/engine/call/test/entry_retry_test.ts
@@ -1,4 +1,4 @@
-/** What is retried, asked about and said of calls, on one node. */
+/** Retries of calls, queries about attempts and outcomes, on one node. */
 import { expect } from "chai";
 import type { FoundAttempt } from "../../peer/common/peer_messages.ts";
 import { BUDGET_FLOOR, BUDGET_SHARE } from "../../retry/common/retry_budget.ts";
@@ -14,17 +14,18 @@
 const TRANSFER: VersionedRow = { ...ROW, idempotent: false, retries: 3 };
 const REFUSED = { status: 503, outcome: "not-run", tokens: 8 } as const;
 
-/** One node and what it did last. */
-class Subject {
+/** One node; keeps the effects of its last step. */
+class TestNode {
   state: NodeState;
   effects: readonly NodeEffect[] = [];
   nowMs = 1_000;
 
-  constructor(row: VersionedRow, numbers: readonly number[] = [1, 2, 3]) {
-    const members = numbers.map((number) => createMember(number));
+  constructor(row: VersionedRow, memberNumbers: readonly number[] = [1, 2, 3]) {
+    const members = memberNumbers.map((number) => createMember(number));
     this.state = createNode(createMember(0), row, members);
   }
 
+  /** Applies an event, `afterMs` after the last one. */
   step(event: NodeEvent, afterMs = 0): void {
     this.nowMs += afterMs;
     const step = reduceNode(this.state, event, this.nowMs);
@@ -32,7 +33,8 @@
     this.effects = step.effects;
   }
 
-  find<T extends NodeEffect["type"]>(
+  /** Returns the first effect of this type in the last step. */
+  findEffect<T extends NodeEffect["type"]>(
     type: T,
   ): Extract<NodeEffect, { type: T }> | undefined {
     return this.effects.find((effect) => effect.type === type) as
@@ -40,6 +42,7 @@
       | undefined;
   }
 
+  /** Receives a call; returns the attempt that it sends, if any. */
   call(exchangeId: string, change: Partial<NodeEvent> = {}): SendAttempt {
     this.step(
       {
@@ -54,19 +57,20 @@
         ...change,
       } as NodeEvent,
     );
-    return this.find("SendAttempt")!;
+    return this.findEffect("SendAttempt")!;
   }
 
-  fail(attemptId: string, isSent: boolean): void {
+  failAttempt(attemptId: string, isSent: boolean): void {
     this.step({ type: "AttemptFailed", attemptId, isSent, reason: "fault" });
   }
 
-  refuse(attemptId: string): void {
+  refuseAttempt(attemptId: string): void {
     const answer = { ...REFUSED, isDraining: false };
     this.step({ type: "AttemptAnswered", attemptId, answer });
   }
 
-  reply(attemptId: string, found: FoundAttempt | undefined): void {
+  /** Replies to a query about an attempt; undefined for a lost reply. */
+  replyToQuery(attemptId: string, found: FoundAttempt | undefined): void {
     const requestId = `attempts:${attemptId}`;
     const reply = found === undefined
       ? undefined
@@ -74,9 +78,10 @@
     this.step({ type: "PeerReplied", requestId, reply });
   }
 
+  /** The outcome that the last step sent to the caller. */
   get outcome(): CallOutcome | undefined {
-    const headers = this.find("AnswerCall")?.headers ??
-      this.find("RelayAnswer")?.headers;
+    const headers = this.findEffect("AnswerCall")?.headers ??
+      this.findEffect("RelayAnswer")?.headers;
     return headers?.["basilpin-outcome"] as CallOutcome | undefined;
   }
 }
@@ -87,79 +92,79 @@
 const ENDED: FoundAttempt = { type: "AttemptKnown", phase: "ended" };
 
 describe("a non-idempotent attempt that failed after it was sent", () => {
-  it("is asked about on a new connection, and retried once fenced", () => {
-    const node = new Subject(TRANSFER);
+  it("is queried on a new connection, and retried once fenced", () => {
+    const node = new TestNode(TRANSFER);
     const first = node.call("x");
-    node.fail(first.attemptId, true);
-    const ask = node.find("AskPeer")!;
-    expect(ask.isFresh).to.equal(true);
-    expect(ask.address).to.equal(first.address);
-    expect(ask.message).to.deep.equal({
+    node.failAttempt(first.attemptId, true);
+    const query = node.findEffect("AskPeer")!;
+    expect(query.isFresh).to.equal(true);
+    expect(query.address).to.equal(first.address);
+    expect(query.message).to.deep.equal({
       type: "FenceAttempts",
       incarnation: 1,
       attempts: [{ attemptId: first.attemptId, ageMs: 0 }],
     });
-    expect(node.find("SendAttempt")).to.equal(undefined);
-    node.reply(first.attemptId, FENCED);
-    expect(node.find("SendAttempt")!.address).to.not.equal(first.address);
+    expect(node.findEffect("SendAttempt")).to.equal(undefined);
+    node.replyToQuery(first.attemptId, FENCED);
+    expect(node.findEffect("SendAttempt")!.address).to.not.equal(first.address);
   });
 
   for (const reply of [ENDED, RUNNING, FORGOTTEN, undefined]) {
     it(`is unknown after ${JSON.stringify(reply) ?? "no reply"}`, () => {
-      const node = new Subject(TRANSFER);
+      const node = new TestNode(TRANSFER);
       const { attemptId } = node.call("x");
-      node.fail(attemptId, true);
-      node.reply(attemptId, reply);
-      expect(node.find("SendAttempt")).to.equal(undefined);
+      node.failAttempt(attemptId, true);
+      node.replyToQuery(attemptId, reply);
+      expect(node.findEffect("SendAttempt")).to.equal(undefined);
       expect(node.outcome).to.equal("unknown");
       expect(node.state.entries.size).to.equal(0);
     });
   }
 
-  it("is retried without a question where no byte was written", () => {
-    const node = new Subject(TRANSFER);
+  it("is retried without a query if no byte was written", () => {
+    const node = new TestNode(TRANSFER);
     const first = node.call("x");
-    node.fail(first.attemptId, false);
-    expect(node.find("AskPeer")).to.equal(undefined);
-    expect(node.find("SendAttempt")!.address).to.not.equal(first.address);
+    node.failAttempt(first.attemptId, false);
+    expect(node.findEffect("AskPeer")).to.equal(undefined);
+    expect(node.findEffect("SendAttempt")!.address).to.not.equal(first.address);
   });
 });
 
 describe("the outcome of a call", () => {
   it("is not-run, with Retry-After, only if every attempt was", () => {
-    const node = new Subject(TRANSFER);
+    const node = new TestNode(TRANSFER);
     for (const _ of [1, 2, 3]) {
       const { attemptId } = node.state.entries.get("x")?.attempt ??
         node.call("x");
-      node.refuse(attemptId);
+      node.refuseAttempt(attemptId);
     }
     expect(node.outcome).to.equal("not-run");
-    expect(node.find("AnswerCall")!.headers["retry-after"]).to.equal("1");
+    expect(node.findEffect("AnswerCall")!.headers["retry-after"]).to.equal("1");
   });
 
-  it("stays unknown where a refusal follows a lost attempt", () => {
-    const node = new Subject({ ...ROW, retries: 2 });
+  it("stays unknown if a refusal follows a lost attempt", () => {
+    const node = new TestNode({ ...ROW, retries: 2 });
     const first = node.call("x");
-    node.fail(first.attemptId, true);
-    const second = node.find("SendAttempt")!;
+    node.failAttempt(first.attemptId, true);
+    const second = node.findEffect("SendAttempt")!;
     expect(second.attemptId).to.not.equal(first.attemptId);
-    node.refuse(second.attemptId);
+    node.refuseAttempt(second.attemptId);
     expect(node.outcome).to.equal("unknown");
   });
 
-  it("is unknown at the deadline of an attempt that is out", () => {
-    const node = new Subject(TRANSFER);
+  it("is unknown if an attempt is in flight at the deadline", () => {
+    const node = new TestNode(TRANSFER);
     const { attemptId } = node.call("x");
     node.step(
       { type: "TimerFired", key: { owner: "entry", id: "x" } },
       ROW.timeoutMs,
     );
     expect(node.outcome).to.equal("unknown");
-    expect(node.find("AbortAttempt")!.attemptId).to.equal(attemptId);
+    expect(node.findEffect("AbortAttempt")!.attemptId).to.equal(attemptId);
   });
 
-  it("is not-run at the deadline of a local attempt in the queue", () => {
-    const node = new Subject({ ...TRANSFER, concurrency: 1 }, [0]);
+  it("is not-run if a local attempt is still queued at the deadline", () => {
+    const node = new TestNode({ ...TRANSFER, concurrency: 1 }, [0]);
     node.call("running");
     expect(node.call("waits")).to.equal(undefined);
     node.step(
@@ -171,29 +176,29 @@
 });
 
 describe("a quiet attempt", () => {
-  it("is left alone for as long as its receiver says that it runs", () => {
-    const node = new Subject(TRANSFER);
+  it("is kept as long as its receiver reports that it is running", () => {
+    const node = new TestNode(TRANSFER);
     const { attemptId } = node.call("x");
-    let asks = 0;
+    let queryCount = 0;
     for (let i = 0; i < 300; i++) {
       node.step({ type: "Ticked" }, 100);
-      if (node.find("AskPeer") !== undefined) {
-        asks += 1;
-        node.reply(attemptId, RUNNING);
+      if (node.findEffect("AskPeer") !== undefined) {
+        queryCount += 1;
+        node.replyToQuery(attemptId, RUNNING);
         expect(node.effects).to.deep.equal([]);
       }
     }
-    expect(asks).to.be.within(25, 30);
+    expect(queryCount).to.be.within(25, 30);
     expect(node.state.entries.has("x")).to.equal(true);
   });
 
-  it("is asked about together with others at its receiver", () => {
-    const node = new Subject(TRANSFER, [1, 2]);
+  it("is queried in one message with others at its receiver", () => {
+    const node = new TestNode(TRANSFER, [1, 2]);
     const sent = ["a", "b", "c", "d"].map((id) => node.call(id));
     node.step({ type: "Ticked" }, 600);
     node.call("late");
     node.step({ type: "Ticked" }, 400);
-    const asked = node.effects.flatMap((effect) =>
+    const queried = node.effects.flatMap((effect) =>
       effect.type === "AskPeer" && effect.message.type === "FenceAttempts"
         ? effect.message.attempts.map(({ attemptId }) => [
           attemptId,
@@ -201,7 +206,7 @@
         ])
         : []
     );
-    expect(asked).to.have.deep.members(
+    expect(queried).to.have.deep.members(
       sent.map(({ attemptId, address }) => [attemptId, address]),
     );
     const receivers = new Set(sent.map(({ address }) => address));
@@ -209,11 +214,11 @@
   });
 
   it("is retried on new connections once it is fenced", () => {
-    const node = new Subject(TRANSFER, [1]);
+    const node = new TestNode(TRANSFER, [1]);
     const first = node.call("x");
     node.step({ type: "Ticked" }, 1_000);
-    expect(node.find("AskPeer")!.isFresh).to.equal(true);
-    node.reply(first.attemptId, FENCED);
+    expect(node.findEffect("AskPeer")!.isFresh).to.equal(true);
+    node.replyToQuery(first.attemptId, FENCED);
     expect(node.effects.map(({ type }) => type)).to.deep.equal([
       "AbortAttempt",
       "DropConnections",
@@ -223,25 +228,26 @@
   });
 
   for (const reply of [ENDED, undefined]) {
-    const name = reply === undefined ? "no reply" : "an answer that is lost";
+    const name = reply === undefined ? "no reply" : "a reply that it has ended";
     it(`is unknown after ${name}, twice`, () => {
-      const node = new Subject(TRANSFER);
+      const node = new TestNode(TRANSFER);
       const { attemptId } = node.call("x");
       node.step({ type: "Ticked" }, 1_000);
-      node.reply(attemptId, reply);
+      node.replyToQuery(attemptId, reply);
       expect(node.effects).to.deep.equal([]);
       node.step({ type: "Ticked" }, 300);
-      node.reply(attemptId, reply);
+      node.replyToQuery(attemptId, reply);
       expect(node.outcome).to.equal("unknown");
-      expect(node.find("DropConnections")).to.not.equal(undefined);
-      expect(node.find("SendAttempt")).to.equal(undefined);
+      expect(node.findEffect("DropConnections")).to.not.equal(undefined);
+      expect(node.findEffect("SendAttempt")).to.equal(undefined);
     });
   }
 });
 
-describe("a relayed answer that stands still", () => {
-  function relay(): Subject {
-    const node = new Subject(TRANSFER);
+describe("a relayed answer that has stalled", () => {
+  /** Creates a node that relays the answer to attempt `x.1`. */
+  function createRelayingNode(): TestNode {
+    const node = new TestNode(TRANSFER);
     const { attemptId } = node.call("x");
     const answer = {
       status: 200,
@@ -253,33 +259,34 @@
     return node;
   }
 
-  it("is cut, never ended, once its receiver is done", () => {
+  it("is cut off, never ended, once its receiver is done", () => {
     for (const phase of ["ended", "blocked"] as const) {
-      const node = relay();
+      const node = createRelayingNode();
       const attemptId = "x.1";
       for (const isNew of [true, false]) {
         node.step({ type: "AnswerQuiet", attemptId, isNew });
-        expect(node.find("AskPeer")!.isFresh).to.equal(true);
-        node.reply(attemptId, { type: "AttemptKnown", phase });
+        expect(node.findEffect("AskPeer")!.isFresh).to.equal(true);
+        node.replyToQuery(attemptId, { type: "AttemptKnown", phase });
       }
-      expect(node.find("DropExchange")!.exchangeId).to.equal("x");
+      expect(node.findEffect("DropExchange")!.exchangeId).to.equal("x");
       expect(node.state.entries.size).to.equal(0);
     }
   });
 
-  it("goes on where its backend server is slow", () => {
-    const node = relay();
+  it("continues while its backend server is slow", () => {
+    const node = createRelayingNode();
     const attemptId = "x.1";
     for (let i = 0; i < 20; i++) {
       node.step({ type: "AnswerQuiet", attemptId, isNew: i === 0 });
-      node.reply(attemptId, { type: "AttemptKnown", phase: "relaying" });
+      node.replyToQuery(attemptId, { type: "AttemptKnown", phase: "relaying" });
       expect(node.effects).to.deep.equal([]);
     }
   });
 });
 
 describe("the receiver of an attempt", () => {
-  function receive(node: Subject, attemptId: string): void {
+  /** Receives an attempt of another node on ingress. */
+  function receiveAttempt(node: TestNode, attemptId: string): void {
     const contextHeader = encodeContext({
       rootId: "root",
       attemptId,
@@ -292,8 +299,9 @@
     node.call(`in-${attemptId}`, { listener: "ingress", contextHeader });
   }
 
-  function ask(
-    node: Subject,
+  /** Queries the node about an attempt, after a further 10 s. */
+  function queryAttempt(
+    node: TestNode,
     attemptId: string,
     incarnation = 1,
   ): FoundAttempt {
@@ -303,52 +311,52 @@
       attempts: [{ attemptId, ageMs: 100 }],
     } as const;
     node.step({ type: "PeerAsked", askId: 1, message }, 10_000);
-    const { reply } = node.find("AnswerPeer")!;
+    const { reply } = node.findEffect("AnswerPeer")!;
     if (reply.type !== "AttemptsFound") {
-      throw new Error(`Unexpected reply ${reply.type}`);
+      throw new Error(`Expected AttemptsFound, got ${reply.type}`);
     }
     return reply.found[0]!;
   }
 
   it("never runs an attempt that it has fenced", () => {
-    const node = new Subject(TRANSFER);
-    expect(ask(node, "a")).to.deep.equal(FENCED);
-    receive(node, "a");
-    expect(node.find("SendAttempt")).to.equal(undefined);
+    const node = new TestNode(TRANSFER);
+    expect(queryAttempt(node, "a")).to.deep.equal(FENCED);
+    receiveAttempt(node, "a");
+    expect(node.findEffect("SendAttempt")).to.equal(undefined);
     expect(node.outcome).to.equal("not-run");
   });
 
   it("proves nothing about an earlier process at its address", () => {
-    const node = new Subject(TRANSFER);
-    expect(ask(node, "a", 0)).to.deep.equal(FORGOTTEN);
+    const node = new TestNode(TRANSFER);
+    expect(queryAttempt(node, "a", 0)).to.deep.equal(FORGOTTEN);
   });
 
-  it("tells a run from a refusal, and runs no attempt id twice", () => {
-    const node = new Subject(TRANSFER);
-    receive(node, "a");
-    expect(ask(node, "a")).to.deep.equal(RUNNING);
-    receive(node, "a");
-    expect(node.find("SendAttempt")).to.equal(undefined);
+  it("reports the phase of a run, and runs no attempt id twice", () => {
+    const node = new TestNode(TRANSFER);
+    receiveAttempt(node, "a");
+    expect(queryAttempt(node, "a")).to.deep.equal(RUNNING);
+    receiveAttempt(node, "a");
+    expect(node.findEffect("SendAttempt")).to.equal(undefined);
     expect(node.outcome).to.equal("unknown");
-    node.fail("a", true);
-    // It ends once it is known whether the backend server died.
-    expect(ask(node, "a")).to.deep.equal(RUNNING);
+    node.failAttempt("a", true);
+    // It ends only after the probe has shown whether the backend server died.
+    expect(queryAttempt(node, "a")).to.deep.equal(RUNNING);
     node.step({ type: "BackendProbed", isAlive: true });
-    expect(ask(node, "a")).to.deep.equal(ENDED);
-    receive(node, "a");
+    expect(queryAttempt(node, "a")).to.deep.equal(ENDED);
+    receiveAttempt(node, "a");
     expect(node.outcome).to.equal("unknown");
   });
 });
 
 describe("an attempt whose backend server does not answer in time", () => {
-  for (const isOtherHeard of [false, true]) {
-    const not = isOtherHeard ? "does not replace" : "replaces";
-    const when = isOtherHeard ? "another was" : "no other was";
-    it(`${not} the connections to it where ${when} answered`, () => {
-      const node = new Subject(TRANSFER, [0]);
+  for (const hasOtherAnswered of [false, true]) {
+    const action = hasOtherAnswered ? "does not replace" : "replaces";
+    const other = hasOtherAnswered ? "another was" : "no other was";
+    it(`${action} the connections to it if ${other} answered`, () => {
+      const node = new TestNode(TRANSFER, [0]);
       const { attemptId } = node.call("x");
       const other = node.call("other");
-      if (isOtherHeard) {
+      if (hasOtherAnswered) {
         node.step({
           type: "AttemptAnswered",
           attemptId: other.attemptId,
@@ -359,9 +367,9 @@
         { type: "TimerFired", key: { owner: "served", id: attemptId } },
         ROW.timeoutMs,
       );
-      expect(node.find("AbortAttempt")!.attemptId).to.equal(attemptId);
-      expect(node.find("DropConnections")?.address)
-        .to.equal(isOtherHeard ? undefined : node.state.backendAddress);
+      expect(node.findEffect("AbortAttempt")!.attemptId).to.equal(attemptId);
+      expect(node.findEffect("DropConnections")?.address)
+        .to.equal(hasOtherAnswered ? undefined : node.state.backendAddress);
       expect(node.outcome).to.equal("unknown");
     });
   }
@@ -369,7 +377,7 @@
 
 describe("cancellation", () => {
   it("of a call reaches the calls that its backend server made", () => {
-    const node = new Subject(ROW, [0]);
+    const node = new TestNode(ROW, [0]);
     const parent = node.call("x");
     const contextHeader = encodeContext(parent.context);
     node.step({
@@ -383,7 +391,7 @@
       effect.type === "AbortAttempt" ? [effect.attemptId] : []
     );
     expect(aborted).to.have.members([parent.attemptId, child.attemptId]);
-    expect(node.find("DropExchange")!.exchangeId).to.equal("child");
+    expect(node.findEffect("DropExchange")!.exchangeId).to.equal("child");
     expect(node.state.entries.size).to.equal(0);
     expect(node.state.served.size).to.equal(0);
     expect(node.state.admission.running.size).to.equal(0);
@@ -393,42 +401,44 @@
 
 describe("a node's retries", () => {
   it("stay a small share of its first attempts", () => {
-    const node = new Subject({ ...ROW, retries: 8 });
+    const node = new TestNode({ ...ROW, retries: 8 });
     let firsts = 0;
     let retries = 0;
     for (let i = 0; i < 500; i++) {
       let attempt: SendAttempt | undefined = node.call(`x${i}`);
       firsts += 1;
       while (attempt !== undefined) {
-        node.refuse(attempt.attemptId);
-        attempt = node.find("SendAttempt");
+        node.refuseAttempt(attempt.attemptId);
+        attempt = node.findEffect("SendAttempt");
         retries += attempt === undefined ? 0 : 1;
       }
     }
     expect(retries).to.equal(BUDGET_FLOOR + BUDGET_SHARE * firsts);
   });
 
-  // Guards services below against repeats that widen the budgets there.
+  // Otherwise repeats would increase the retry budgets of downstream services.
   it("carry on that they repeat a run, and what that calls widens nothing", () => {
-    const node = new Subject({ ...ROW, retries: 8 });
+    const node = new TestNode({ ...ROW, retries: 8 });
     const first = node.call("x");
-    node.fail(first.attemptId, true);
-    const retry = node.find("SendAttempt")!;
+    node.failAttempt(first.attemptId, true);
+    const retry = node.findEffect("SendAttempt")!;
     expect([first, retry].map(({ context }) => context.isRepeat))
       .to.deep.equal([undefined, true]);
-    const below = new Subject(ROW);
+    const downstream = new TestNode(ROW);
     const contextHeader = encodeContext(retry.context);
-    const called = below.call("y", { listener: "egress", contextHeader });
-    expect(called.context.isRepeat).to.equal(true);
-    expect(below.state.retryBudget.slices.map(({ firsts, retries }) => ({
+    const call = downstream.call("y", { listener: "egress", contextHeader });
+    expect(call.context.isRepeat).to.equal(true);
+    expect(downstream.state.retryBudget.slices.map(({ firsts, retries }) => ({
       firsts,
       retries,
     }))).to.deep.equal([{ firsts: 0, retries: 1 }]);
   });
 
-  it("of what no backend server ran are no repeats of a run", () => {
-    const node = new Subject({ ...ROW, retries: 8 });
-    node.refuse(node.call("x").attemptId);
-    expect(node.find("SendAttempt")!.context.isRepeat).to.equal(undefined);
+  it("are not marked as repeats if no backend server ran the first attempt", () => {
+    const node = new TestNode({ ...ROW, retries: 8 });
+    node.refuseAttempt(node.call("x").attemptId);
+    expect(node.findEffect("SendAttempt")!.context.isRepeat).to.equal(
+      undefined,
+    );
   });
 });
--- a/src/engine/call/test/node_network.ts
+++ b/src/engine/call/test/node_network.ts
@@ -1,4 +1,4 @@
-/** Several real node reducers joined by a fake network, for tests. */
+/** Node reducers connected by a fake network, for tests. */
 import type { Announcement } from "../../membership/common/announcement.ts";
 import type { VersionedRow } from "../../table/common/table_row.ts";
 import { encodeContext } from "../common/call_context.ts";
@@ -47,13 +47,13 @@
   };
 }
 
-/** Creates a node that holds `row` and knows `members`. */
+/** Creates a node whose table holds `row` and whose service has `members`. */
 export function createNode(
   self: Announcement,
   row: VersionedRow,
   members: readonly Announcement[],
 ): NodeState {
-  const start = createNodeState(self, `${self.nodeId}:backend`);
+  const initial = createNodeState(self, `${self.nodeId}:backend`);
   const table = { version: 1, rows: [row] };
   const events: readonly NodeEvent[] = [
     { type: "TableReceived", table, isConfirmed: true },
@@ -61,50 +61,66 @@
   ];
   return events.reduce(
     (state, event) => reduceNode(state, event, 0).state,
-    start,
+    initial,
   );
 }
 
-/** Decides what the network and the backend servers do. */
+/** Controls the behaviour of the network and of the backend servers. */
 export interface NetworkChoices {
-  /** Called with what a backend server is to run. */
+  /** Called for each attempt that is sent to a backend server. */
   readonly runBackend: (network: NodeNetwork, run: BackendRun) => void;
-  /** "late" arrives after all else, when its sender has given it up. */
+  /**
+   * Whether a request between nodes is lost. A "late" request is delivered
+   * once no other event is queued, after its sender has seen it fail.
+   */
   readonly loseRequest?: () => "lost" | "late" | undefined;
   readonly isAnswerLost: () => boolean;
   readonly isReplyLost: () => boolean;
 }
 
-/** One run at a backend server. */
+/** One attempt sent to a backend server. */
 export interface BackendRun {
+  /** The node beside the backend server. */
   readonly nodeId: string;
+  /** The effect that sent the attempt. */
   readonly send: SendAttempt;
 }
 
-/** An answer to an exchange that the test opened. */
-export interface SeenAnswer {
+/** The answer to a call made by the test; both undefined if it was cut off. */
+export interface ObservedAnswer {
   readonly status: number | undefined;
   readonly outcome: CallOutcome | undefined;
 }
 
+/** The attempt that opened an ingress exchange. */
 interface Hop {
   readonly senderId: string;
   readonly attemptId: string;
 }
 
-/** Joins nodes; events wait in a queue until `run`. */
+/** Connects nodes; events are queued until `run` is called. */
 export class NodeNetwork {
   readonly nodes = new Map<string, NodeState>();
+  /** Ids of all attempts that the nodes recorded as sent. */
   readonly sent: string[] = [];
-  readonly answers = new Map<string, SeenAnswer>();
+  /** By exchange id. */
+  readonly answers = new Map<string, ObservedAnswer>();
   nowMs = 1_000_000;
   readonly #choices: NetworkChoices;
+  /** Events with the node that they are for. */
   readonly #queue: (readonly [string, NodeEvent])[] = [];
-  readonly #late: (readonly [string, NodeEvent])[] = [];
+  /** Delivered once `#queue` is empty. */
+  readonly #lateQueue: (readonly [string, NodeEvent])[] = [];
+  /** By exchange id at the receiver. */
   readonly #hops = new Map<string, Hop>();
-  readonly #exchangeOf = new Map<string, readonly [string, string]>();
-  readonly #waiting = new Map<string, () => void>();
-  readonly #asks = new Map<number, { senderId: string; requestId: string }>();
+  /** Receiver and its exchange id, by attempt id. */
+  readonly #exchangeOfAttempt = new Map<string, readonly [string, string]>();
+  /** Callbacks for the answers of calls, by exchange id. */
+  readonly #answerCallbacks = new Map<string, () => void>();
+  readonly #pendingAsks = new Map<
+    number,
+    { senderId: string; requestId: string }
+  >();
   #nextId = 0;
 
   constructor(row: VersionedRow, count: number, choices: NetworkChoices) {
@@ -115,12 +131,12 @@
     }
   }
 
-  /** Queues an event at a node. */
+  /** Enqueues an event for a node. */
   post(nodeId: string, event: NodeEvent): void {
     this.#queue.push([nodeId, event]);
   }
 
-  /** Queues a call and returns the id of its exchange. */
+  /** Enqueues a call and returns its exchange id. */
   call(
     nodeId: string,
     listener: "edge" | "egress",
@@ -131,15 +147,15 @@
     return exchangeId;
   }
 
-  /** Calls `then` once an exchange of the test has its answer. */
+  /** Calls `then` once a call made by the test has been answered. */
   waitAnswer(exchangeId: string, then: () => void): void {
-    this.#waiting.set(exchangeId, then);
+    this.#answerCallbacks.set(exchangeId, then);
   }
 
-  /** Runs until nothing is left to do. */
+  /** Applies events until none is queued. */
   run(): void {
-    const take = () => this.#queue.shift() ?? this.#late.shift();
-    for (let next = take(); next; next = take()) {
+    const dequeue = () => this.#queue.shift() ?? this.#lateQueue.shift();
+    for (let next = dequeue(); next; next = dequeue()) {
       const [nodeId, event] = next;
       const state = this.nodes.get(nodeId)!;
       const step = reduceNode(state, event, this.nowMs);
@@ -182,21 +198,22 @@
         this.post(nodeId, { type: "BackendProbed", isAlive: true });
         return;
       case "AnswerCall":
-        this.#answer(effect.exchangeId, effect.status, effect.headers);
+        this.#deliverAnswer(effect.exchangeId, effect.status, effect.headers);
         return;
       case "RelayAnswer":
-        this.#answer(effect.exchangeId, 200, effect.headers);
+        this.#deliverAnswer(effect.exchangeId, 200, effect.headers);
         this.post(nodeId, {
           type: "AttemptEnded",
           attemptId: effect.attemptId,
         });
         return;
       case "DropExchange":
-        this.#finish(effect.exchangeId, undefined, undefined);
+        this.#recordAnswer(effect.exchangeId, undefined, undefined);
         return;
       case "AbortAttempt": {
-        const [peerId, exchangeId] = this.#exchangeOf.get(effect.attemptId) ??
-          [];
+        const [peerId, exchangeId] =
+          this.#exchangeOfAttempt.get(effect.attemptId) ??
+            [];
         if (peerId !== undefined && exchangeId !== undefined) {
           this.post(peerId, { type: "CallerLeft", exchangeId });
         }
@@ -205,7 +222,7 @@
       case "AskPeer": {
         const askId = this.#nextId++;
         const { requestId, address, message } = effect;
-        this.#asks.set(askId, { senderId: nodeId, requestId });
+        this.#pendingAsks.set(askId, { senderId: nodeId, requestId });
         this.post(address.split(":")[0]!, {
           type: "PeerAsked",
           askId,
@@ -214,7 +231,7 @@
         return;
       }
       case "AnswerPeer": {
-        const { senderId, requestId } = this.#asks.get(effect.askId)!;
+        const { senderId, requestId } = this.#pendingAsks.get(effect.askId)!;
         const reply = this.#choices.isReplyLost() ? undefined : effect.reply;
         this.post(senderId, { type: "PeerReplied", requestId, reply });
         return;
@@ -231,22 +248,22 @@
     const exchangeId = `x${this.#nextId++}`;
     this.#hops.set(exchangeId, { senderId: nodeId, attemptId });
     const peerId = address.split(":")[0]!;
-    this.#exchangeOf.set(attemptId, [peerId, exchangeId]);
+    this.#exchangeOfAttempt.set(attemptId, [peerId, exchangeId]);
     this.#receive(peerId, exchangeId, "ingress", encodeContext(context));
     const loss = this.#choices.loseRequest?.();
     if (loss === undefined) {
       return;
     }
-    const arrival = this.#queue.pop()!;
+    const request = this.#queue.pop()!;
     if (loss === "late") {
-      this.#late.push(arrival);
+      this.#lateQueue.push(request);
     }
     const reason = "lost";
     const type = "AttemptFailed";
     this.post(nodeId, { type, attemptId, isSent: true, reason });
   }
 
-  #answer(
+  #deliverAnswer(
     exchangeId: string,
     status: number,
     headers: Readonly<Record<string, string>>,
@@ -254,7 +271,7 @@
     const outcome = headers["basilpin-outcome"] as CallOutcome;
     const hop = this.#hops.get(exchangeId);
     if (hop === undefined) {
-      this.#finish(exchangeId, status, outcome);
+      this.#recordAnswer(exchangeId, status, outcome);
       return;
     }
     const { senderId, attemptId } = hop;
@@ -274,13 +291,13 @@
     this.post(senderId, { type: "AttemptEnded", attemptId });
   }
 
-  #finish(
+  #recordAnswer(
     exchangeId: string,
     status: number | undefined,
     outcome: CallOutcome | undefined,
   ): void {
     this.answers.set(exchangeId, { status, outcome });
-    this.#waiting.get(exchangeId)?.();
-    this.#waiting.delete(exchangeId);
+    this.#answerCallbacks.get(exchangeId)?.();
+    this.#answerCallbacks.delete(exchangeId);
   }
 }
