--- a/src/engine/call/test/quarantine_steps_test.ts
+++ b/src/engine/call/test/quarantine_steps_test.ts
@@ -1,4 +1,7 @@
-/** Suspects among several nodes: who may run, and who is told when. */
+/**
+ * Suspects on several nodes of a service: which node may run one, and when the
+ * nodes are notified.
+ */
 import { expect } from "chai";
 import fc from "fast-check";
 import { encodeContext } from "../common/call_context.ts";
@@ -8,25 +11,31 @@
 import { findOwner } from "../common/quarantine_steps.ts";
 import { createMember, createNode, ROW } from "./node_network.ts";
 
-const GUILTY = "guilty";
-const FINGERPRINT = `${ROW.kind}|${GUILTY}`;
+/** Digest of the request that crashes a backend server. */
+const GUILTY_DIGEST = "guilty";
+const GUILTY_FINGERPRINT = `${ROW.kind}|${GUILTY_DIGEST}`;
 const MEMBERS = [0, 1, 2, 3].map((i) => createMember(i));
 
-/** Nodes whose messages arrive at once, unless they are held back. */
-class Service {
+/** Nodes whose messages are delivered immediately, or held by the test. */
+class TestService {
   readonly nodes = new Map<string, NodeState>();
+  /** Status codes by exchange id. */
   readonly answers = new Map<string, number>();
-  readonly held: (() => void)[] = [];
+  /** Deliver one held message each. */
+  readonly heldDeliveries: (() => void)[] = [];
+  /** Types of the recorded events. */
   readonly events: string[] = [];
-  /** Attempts at each backend server. */
+  /** Attempts running at each backend server, by node id. */
   readonly running = new Map<string, Set<string>>();
+  /** Whether messages between nodes are held. */
   isHolding = false;
-  /** A node whose replies are lost. */
-  silent: string | undefined;
-  isAlive = false;
+  /** Node to which no message is delivered; its senders get no reply. */
+  silentNodeId: string | undefined;
+  /** What a probe finds after a crash. */
+  isBackendAlive = false;
   nowMs = 1_000_000;
   #nextId = 0;
-  readonly #asks = new Map<number, (reply: object) => void>();
+  readonly #replyCallbacks = new Map<number, (reply: object) => void>();
 
   constructor() {
     for (const member of MEMBERS) {
@@ -36,7 +45,7 @@
     }
   }
 
-  /** Hands an attempt with these bytes to a node; returns its id. */
+  /** Receives an attempt with this digest at a node; returns its id. */
   receive(nodeId: string, digest: string): string {
     const attemptId = `${digest}-${this.#nextId++}`;
     const contextHeader = encodeContext({
@@ -62,11 +71,11 @@
     return attemptId;
   }
 
-  /** The backend server dies with all that it runs. */
+  /** Resets all attempts at a backend server, then probes it. */
   crash(nodeId: string): void {
-    const lost = [...this.running.get(nodeId)!];
+    const lostIds = [...this.running.get(nodeId)!];
     this.running.get(nodeId)!.clear();
-    for (const attemptId of lost) {
+    for (const attemptId of lostIds) {
       const type = "AttemptFailed";
       const reason = "reset";
       this.step(nodeId, {
@@ -77,10 +86,10 @@
         isReset: true,
       });
     }
-    this.step(nodeId, { type: "BackendProbed", isAlive: this.isAlive });
+    this.step(nodeId, { type: "BackendProbed", isAlive: this.isBackendAlive });
   }
 
-  /** A run comes to a whole answer. */
+  /** Answers an attempt completely. */
   finish(nodeId: string, attemptId: string): void {
     this.running.get(nodeId)!.delete(attemptId);
     const answer = { status: 200, outcome: "ran", tokens: 0 } as const;
@@ -120,15 +129,15 @@
         this.events.push(effect.event.type);
         return;
       case "AskPeer":
-        this.#ask(nodeId, effect);
+        this.#askPeer(nodeId, effect);
         return;
       case "AnswerPeer":
-        this.#asks.get(effect.askId)!(effect.reply);
+        this.#replyCallbacks.get(effect.askId)!(effect.reply);
         return;
     }
   }
 
-  #ask(
+  #askPeer(
     nodeId: string,
     effect: Extract<NodeEffect, { type: "AskPeer" }>,
   ): void {
@@ -141,16 +150,16 @@
         reply: value as never,
       });
     const deliver = () => {
-      if (target === this.silent) {
+      if (target === this.silentNodeId) {
         reply(undefined);
         return;
       }
       const askId = this.#nextId++;
-      this.#asks.set(askId, reply);
+      this.#replyCallbacks.set(askId, reply);
       this.step(target, { type: "PeerAsked", askId, message });
     };
     if (this.isHolding) {
-      this.held.push(deliver);
+      this.heldDeliveries.push(deliver);
       return;
     }
     deliver();
@@ -159,57 +168,62 @@
 
 describe("suspects among the nodes of a service", () => {
   it("run at one node at a time, and nowhere after the second crash", () => {
-    const service = new Service();
-    service.receive("n0", GUILTY);
+    const service = new TestService();
+    service.receive("n0", GUILTY_DIGEST);
     service.crash("n0");
-    const second = service.receive("n1", GUILTY);
+    const second = service.receive("n1", GUILTY_DIGEST);
     expect(service.isRunning("n1", second)).to.equal(true);
-    const third = service.receive("n2", GUILTY);
+    const third = service.receive("n2", GUILTY_DIGEST);
     expect(service.isRunning("n2", third)).to.equal(false);
     expect(service.answers.get(third)).to.equal(503);
     service.crash("n1");
     for (const { nodeId } of MEMBERS) {
-      const later = service.receive(nodeId, GUILTY);
+      const later = service.receive(nodeId, GUILTY_DIGEST);
       expect(service.isRunning(nodeId, later)).to.equal(false);
       expect(service.answers.get(later)).to.equal(422);
     }
     expect(service.events).to.include("RequestQuarantined");
   });
 
-  it("are known everywhere before the crashed attempt is answered", () => {
-    const service = new Service();
-    const first = service.receive("n0", GUILTY);
+  it("are known to all nodes before the crashed attempt is answered", () => {
+    const service = new TestService();
+    const first = service.receive("n0", GUILTY_DIGEST);
     service.isHolding = true;
     service.crash("n0");
     expect(service.answers.has(first)).to.equal(false);
     service.isHolding = false;
-    service.held.splice(0).forEach((deliver) => deliver());
+    service.heldDeliveries.splice(0).forEach((deliver) => deliver());
     expect(service.answers.get(first)).to.equal(502);
     for (const node of service.nodes.values()) {
-      expect([...node.quarantine.known.keys()]).to.deep.equal([FINGERPRINT]);
+      expect([...node.quarantine.known.keys()]).to.deep.equal([
+        GUILTY_FINGERPRINT,
+      ]);
     }
   });
 
-  it("run nowhere while their owner is silent", () => {
-    const service = new Service();
-    service.receive("n0", GUILTY);
+  it("run at no node while their owner does not reply", () => {
+    const service = new TestService();
+    service.receive("n0", GUILTY_DIGEST);
     service.crash("n0");
-    const { nodeId: owner } = findOwner(service.nodes.get("n0")!, FINGERPRINT)!;
+    const { nodeId: owner } = findOwner(
+      service.nodes.get("n0")!,
+      GUILTY_FINGERPRINT,
+    )!;
     const other = MEMBERS.find(({ nodeId }) => nodeId !== owner)!.nodeId;
-    service.silent = owner;
-    const refused = service.receive(other, GUILTY);
+    service.silentNodeId = owner;
+    const refused = service.receive(other, GUILTY_DIGEST);
     expect(service.isRunning(other, refused)).to.equal(false);
     expect(service.answers.get(refused)).to.equal(503);
-    service.silent = undefined;
+    service.silentNodeId = undefined;
     service.nowMs += 2_000;
     service.step(other, { type: "Ticked" });
-    const granted = service.receive(other, GUILTY);
+    const granted = service.receive(other, GUILTY_DIGEST);
     expect(service.isRunning(other, granted)).to.equal(true);
   });
 
-  it("are told to a node that joins", () => {
-    const service = new Service();
-    service.receive("n0", GUILTY);
+  it("are reported to a node that joins", () => {
+    const service = new TestService();
+    service.receive("n0", GUILTY_DIGEST);
     service.crash("n0");
     const fresh = { ...MEMBERS[3]!, incarnation: 2 };
     service.nodes.set("n3", createNode(fresh, ROW, MEMBERS));
@@ -217,31 +231,31 @@
       service.step(nodeId, { type: "MemberPublished", announcement: fresh });
     }
     const { known } = service.nodes.get("n3")!.quarantine;
-    expect([...known.keys()]).to.deep.equal([FINGERPRINT]);
+    expect([...known.keys()]).to.deep.equal([GUILTY_FINGERPRINT]);
   });
 
-  it("are not made by one reset of a backend server that lives", () => {
-    const service = new Service();
-    service.isAlive = true;
-    const cut = service.receive("n0", GUILTY);
+  it("are not created by one reset if the backend server is alive", () => {
+    const service = new TestService();
+    service.isBackendAlive = true;
+    const cut = service.receive("n0", GUILTY_DIGEST);
     service.crash("n0");
     expect(service.answers.get(cut)).to.equal(502);
     expect(service.nodes.get("n1")!.quarantine.known.size).to.equal(0);
   });
 
-  it("are made where all was reset and the process is back already", () => {
-    const service = new Service();
-    service.isAlive = true;
-    service.receive("n0", GUILTY);
+  it("are created if all attempts were reset, though the process is back", () => {
+    const service = new TestService();
+    service.isBackendAlive = true;
+    service.receive("n0", GUILTY_DIGEST);
     service.receive("n0", "other");
     service.crash("n0");
     expect(service.nodes.get("n1")!.quarantine.known.size).to.equal(2);
   });
 
-  it("count once for a crash, though their failures come one by one", () => {
-    const service = new Service();
+  it("are counted once per crash, though the failures arrive one by one", () => {
+    const service = new TestService();
     const innocent = service.receive("n0", "innocent");
-    const late = service.receive("n0", GUILTY);
+    const late = service.receive("n0", GUILTY_DIGEST);
     service.running.get("n0")!.delete(late);
     service.crash("n0");
     expect(service.answers.has(innocent)).to.equal(true);
@@ -253,61 +267,67 @@
     expect(service.events).not.to.include("RequestQuarantined");
   });
 
-  it("aren't convicted beside another that was there before", () => {
-    const service = new Service();
-    service.receive("n0", GUILTY);
+  it("are not quarantined for a crash beside an earlier suspect", () => {
+    const service = new TestService();
+    service.receive("n0", GUILTY_DIGEST);
     service.receive("n0", "innocent");
-    service.receive("n1", GUILTY);
+    service.receive("n1", GUILTY_DIGEST);
     service.crash("n0");
-    const leased = service.receive("n1", "innocent");
-    expect(service.isRunning("n1", leased)).to.equal(true);
+    const leasedRun = service.receive("n1", "innocent");
+    expect(service.isRunning("n1", leasedRun)).to.equal(true);
     service.crash("n1");
-    const again = service.receive("n2", "innocent");
-    expect(service.isRunning("n2", again)).to.equal(true);
-    service.finish("n2", again);
+    const rerun = service.receive("n2", "innocent");
+    expect(service.isRunning("n2", rerun)).to.equal(true);
+    service.finish("n2", rerun);
     for (const node of service.nodes.values()) {
-      expect([...node.quarantine.known.keys()]).to.deep.equal([FINGERPRINT]);
+      expect([...node.quarantine.known.keys()]).to.deep.equal([
+        GUILTY_FINGERPRINT,
+      ]);
     }
   });
 
   it("are forgotten by a node that missed the word of their owner", () => {
-    const service = new Service();
+    const service = new TestService();
     service.receive("n0", "innocent");
     service.crash("n0");
-    const again = service.receive("n1", "innocent");
+    const rerun = service.receive("n1", "innocent");
     const owner = findOwner(
       service.nodes.get("n1")!,
       `${ROW.kind}|innocent`,
     )!.nodeId;
-    service.silent =
+    service.silentNodeId =
       MEMBERS.find(({ nodeId }) => nodeId !== owner && nodeId !== "n1")!.nodeId;
-    service.finish("n1", again);
-    const deaf = service.silent;
-    service.silent = undefined;
-    expect(service.nodes.get(deaf)!.quarantine.known.size).to.equal(1);
+    service.finish("n1", rerun);
+    const uninformedNodeId = service.silentNodeId;
+    service.silentNodeId = undefined;
+    expect(service.nodes.get(uninformedNodeId)!.quarantine.known.size).to.equal(
+      1,
+    );
     service.nowMs += 4_000;
-    service.step(deaf, { type: "Ticked" });
-    expect(service.nodes.get(deaf)!.quarantine.known.size).to.equal(0);
+    service.step(uninformedNodeId, { type: "Ticked" });
+    expect(service.nodes.get(uninformedNodeId)!.quarantine.known.size).to.equal(
+      0,
+    );
   });
 
   it("aren't made anew by the word of a crash that comes last", () => {
-    const service = new Service();
+    const service = new TestService();
     service.receive("n0", "innocent");
     service.isHolding = true;
     service.crash("n0");
     service.isHolding = false;
-    const tells = service.held.splice(0);
-    tells.shift()!();
-    const again = service.receive("n1", "innocent");
-    service.finish("n1", again);
-    tells.forEach((deliver) => deliver());
+    const notifications = service.heldDeliveries.splice(0);
+    notifications.shift()!();
+    const rerun = service.receive("n1", "innocent");
+    service.finish("n1", rerun);
+    notifications.forEach((deliver) => deliver());
     for (const { quarantine } of service.nodes.values()) {
       expect([...quarantine.known.keys()]).to.deep.equal([]);
       expect([...quarantine.ledger.suspects.keys()]).to.deep.equal([]);
     }
   });
 
-  it("cost two backend servers, resent anywhere beside any others", () => {
+  it("crash at most two backend servers, whatever runs beside them", () => {
     const ids = fc.constantFrom(...MEMBERS.map(({ nodeId }) => nodeId));
     const digest = fc.constantFrom("a", "b", "c", "d");
     const action = fc.record({
@@ -317,32 +337,37 @@
     });
     fc.assert(
       fc.property(fc.array(action, { maxLength: 80 }), (actions) => {
-        const service = new Service();
-        let deaths = 0;
+        const service = new TestService();
+        let crashCount = 0;
         for (const { type, nodeId, digest } of actions) {
           service.nowMs += 200;
-          const runs = [...service.running.get(nodeId)!];
+          const runningIds = [...service.running.get(nodeId)!];
           if (type === "resend") {
-            const sent = service.receive(nodeId, GUILTY);
-            if (service.isRunning(nodeId, sent)) {
-              deaths += 1;
+            const attemptId = service.receive(nodeId, GUILTY_DIGEST);
+            if (service.isRunning(nodeId, attemptId)) {
+              crashCount += 1;
               service.crash(nodeId);
             }
           } else if (type === "innocent") {
             service.receive(nodeId, digest);
           } else if (type === "tick") {
             service.step(nodeId, { type: "Ticked" });
-          } else if (runs.length > 0 && type === "finish") {
-            service.finish(nodeId, runs[0]!);
-          } else if (runs.length > 0) {
-            service.running.get(nodeId)!.delete(runs[0]!);
-            service.step(nodeId, { type: "CallerLeft", exchangeId: runs[0]! });
+          } else if (runningIds.length > 0 && type === "finish") {
+            service.finish(nodeId, runningIds[0]!);
+          } else if (runningIds.length > 0) {
+            service.running.get(nodeId)!.delete(runningIds[0]!);
+            service.step(nodeId, {
+              type: "CallerLeft",
+              exchangeId: runningIds[0]!,
+            });
           }
         }
-        expect(deaths).to.be.at.most(2);
+        expect(crashCount).to.be.at.most(2);
         for (const node of service.nodes.values()) {
-          for (const [name, suspect] of node.quarantine.ledger.suspects) {
-            const isGuilty = name === FINGERPRINT;
+          for (
+            const [fingerprint, suspect] of node.quarantine.ledger.suspects
+          ) {
+            const isGuilty = fingerprint === GUILTY_FINGERPRINT;
             expect(suspect.quarantinedUntilMs > 0 && !isGuilty).to.equal(false);
           }
         }
--- a/src/engine/call/test/whole_answer_test.ts
+++ b/src/engine/call/test/whole_answer_test.ts
@@ -1,4 +1,7 @@
-/** Answers of raw backend servers through a node's real listeners. */
+/**
+ * Complete, truncated and malformed answers of a backend server on a raw socket,
+ * relayed through the real listeners of a node.
+ */
 import { connect, createServer as createTcpServer } from "node:net";
 import type { AddressInfo, Server, Socket } from "node:net";
 import { Readable } from "node:stream";
@@ -16,11 +19,13 @@
 import { findAddress } from "../../../../standin/ports.ts";
 import { createMember, createNode, ROW } from "./node_network.ts";
 
+/** More than the buffers of all hops can hold. */
 const HUGE_BYTES = 256 * 1024 * 1024;
-/** Socket buffers of two hops, and the node's own. */
+/** Upper limit for the socket buffers of two hops plus the node's own. */
 const MAX_BUFFERED_BYTES = 48 * 1024 * 1024;
 const CHUNK = Buffer.alloc(64 * 1024, 1);
-const SEEN: ReadonlySet<NodeEffect["type"]> = new Set([
+/** Effects that the `CallServer` performs; the test ignores all others. */
+const HANDLED_EFFECTS: ReadonlySet<NodeEffect["type"]> = new Set([
   "AnswerCall",
   "SendAttempt",
   "AbortAttempt",
@@ -30,14 +35,14 @@
   "ProbeBackend",
 ]);
 
-/** A backend server that answers with raw bytes, for each request head. */
+/** Called for each request head; writes the bytes of the answer. */
 type Respond = (socket: Socket, path: string) => void;
 
 describe("whole answers", () => {
   const sockets = new Set<Socket>();
   let respond: Respond = () => {};
   let backend: Server;
-  let calls: CallServer;
+  let callServer: CallServer;
   let edge: string;
   let loop: EventLoop<NodeState, NodeEvent, NodeEffect>;
 
@@ -66,13 +71,13 @@
       reduce: reduceNode,
       readClock: Date.now,
       perform: (effect) => {
-        if (SEEN.has(effect.type)) {
-          calls.perform(effect as CallEffect);
+        if (HANDLED_EFFECTS.has(effect.type)) {
+          callServer.perform(effect as CallEffect);
         }
       },
     });
     edge = await findAddress();
-    calls = new CallServer({
+    callServer = new CallServer({
       listeners: {
         edge: parseAddress(edge)!,
         egress: parseAddress(await findAddress())!,
@@ -84,25 +89,26 @@
       firstRequests: { queuedMs: 0, hold: (run) => run() },
       connections: 4,
     });
-    await calls.open();
+    await callServer.open();
   });
 
   after(async () => {
-    await calls[Symbol.asyncDispose]();
+    await callServer[Symbol.asyncDispose]();
     for (const socket of sockets) {
       socket.destroy();
     }
     await new Promise((resolve) => backend.close(resolve));
   });
 
-  async function fetchOne(path: string) {
+  /** Sends a request at the edge; the body is "cut" if it is truncated. */
+  async function fetchAnswer(path: string) {
     const answer = await request(`http://${edge}${path}`);
     const outcome = answer.headers["basilpin-outcome"];
     const body = await answer.body.text().catch(() => "cut");
     return { status: answer.statusCode, outcome, body };
   }
 
-  it("takes no word of the system's own from a backend server", async () => {
+  it("ignores this system's own headers in a backend server's answer", async () => {
     const forged = "basilpin-outcome: not-run\r\nbasilpin-level: i=9, h=1";
     respond = (socket) => {
       socket.write(
@@ -132,30 +138,30 @@
     expect(paths).to.deep.equal([]);
   });
 
-  const SHORT: Readonly<Record<string, string>> = {
+  const TRUNCATED: Readonly<Record<string, string>> = {
     "a short answer": "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nshort",
     "a chunked answer without its end":
       "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nshort\r\n",
     "a chunk that is cut":
       "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nff\r\nshort",
   };
-  for (const [name, bytes] of Object.entries(SHORT)) {
+  for (const [name, bytes] of Object.entries(TRUNCATED)) {
     it(`cuts the caller off after ${name}`, async () => {
       respond = (socket) => socket.end(bytes);
-      expect((await fetchOne("/short")).body).to.equal("cut");
+      expect((await fetchAnswer("/short")).body).to.equal("cut");
     });
   }
 
-  const UNKNOWN: Readonly<Record<string, string>> = {
+  const UNKNOWN_OUTCOME: Readonly<Record<string, string>> = {
     "an answer that only the connection's end ends":
       "HTTP/1.1 200 OK\r\n\r\nshort",
     "half a head": "HTTP/1.1 200 OK\r\ncontent-le",
     "no byte": "",
   };
-  for (const [name, bytes] of Object.entries(UNKNOWN)) {
+  for (const [name, bytes] of Object.entries(UNKNOWN_OUTCOME)) {
     it(`says unknown after ${name}`, async () => {
       respond = (socket) => socket.end(bytes);
-      const { status, outcome } = await fetchOne("/short");
+      const { status, outcome } = await fetchAnswer("/short");
       expect({ status, outcome }).to.deep.equal({
         status: 502,
         outcome: "unknown",
@@ -164,37 +170,37 @@
   }
 
   it("gives no caller the bytes that follow another's answer", async () => {
-    const own = (path: string) =>
+    const createAnswer = (path: string) =>
       `HTTP/1.1 200 OK\r\ncontent-length: ${path.length}\r\n\r\n${path}`;
     respond = (socket, path) => {
-      const more = path === "/first" ? own("/forged") : "";
-      socket.write(own(path) + more);
+      const extra = path === "/first" ? createAnswer("/forged") : "";
+      socket.write(createAnswer(path) + extra);
     };
-    expect((await fetchOne("/first")).body).to.be.oneOf(["/first", "cut"]);
+    expect((await fetchAnswer("/first")).body).to.be.oneOf(["/first", "cut"]);
     for (let i = 0; i < 8; i++) {
-      expect((await fetchOne(`/n${i}`)).body).to.equal(`/n${i}`);
+      expect((await fetchAnswer(`/n${i}`)).body).to.equal(`/n${i}`);
     }
   });
 
   it("gives each caller its own answer, late ones to nobody", async () => {
     respond = (socket, path) => {
-      const lateMs = (Number(path.slice(2)) * 7) % 30;
+      const delayMs = (Number(path.slice(2)) * 7) % 30;
       const head = `HTTP/1.1 200 OK\r\ncontent-length: ${path.length}\r\n\r\n`;
-      setTimeout(() => socket.write(head + path), lateMs);
+      setTimeout(() => socket.write(head + path), delayMs);
     };
     const bodies = await Promise.all(
       Array.from({ length: 200 }, async (_, i) => {
-        const leave = new AbortController();
+        const abortController = new AbortController();
         if (i % 3 === 0) {
-          setTimeout(() => leave.abort(), i % 20);
+          setTimeout(() => abortController.abort(), i % 20);
         }
-        const { signal } = leave;
+        const { signal } = abortController;
         return await request(`http://${edge}/n${i}`, { signal })
           .then(({ body }) => body.text()).catch(() => undefined);
       }),
     );
-    const got = bodies.filter((body) => body !== undefined);
-    expect(got.length).to.be.at.least(133);
+    const received = bodies.filter((body) => body !== undefined);
+    expect(received.length).to.be.at.least(133);
     bodies.forEach((body, i) => {
       expect(body).to.be.oneOf(
         i % 3 === 0 ? [undefined, `/n${i}`] : [`/n${i}`],
@@ -204,24 +210,24 @@
     expect(loop.state.served.size).to.equal(0);
   });
 
-  /** Polls a count of bytes until it stands still. */
-  async function waitStill(readBytes: () => number): Promise<number> {
+  /** Polls a byte count until it is positive and has stopped changing. */
+  async function waitUntilStable(readBytes: () => number): Promise<number> {
     let last = -1;
-    for (let same = 0; same < 10; await sleep(30)) {
+    for (let equalPolls = 0; equalPolls < 10; await sleep(30)) {
       const bytes = readBytes();
-      same = bytes === last && bytes > 0 ? same + 1 : 0;
+      equalPolls = bytes === last && bytes > 0 ? equalPolls + 1 : 0;
       last = bytes;
     }
     return last;
   }
 
   it("holds back a large answer that its caller doesn't read", async () => {
-    let written = 0;
+    let writtenBytes = 0;
     respond = (socket) => {
       socket.write(`HTTP/1.1 200 OK\r\ncontent-length: ${HUGE_BYTES}\r\n\r\n`);
       const send = () => {
-        while (written < HUGE_BYTES) {
-          written += CHUNK.length;
+        while (writtenBytes < HUGE_BYTES) {
+          writtenBytes += CHUNK.length;
           if (!socket.write(CHUNK)) {
             socket.once("drain", send);
             return;
@@ -231,34 +237,34 @@
       send();
     };
     const answer = await request(`http://${edge}/huge`);
-    const held = await waitStill(() => written);
-    expect(held).to.be.below(MAX_BUFFERED_BYTES);
-    let read = 0;
+    const bufferedBytes = await waitUntilStable(() => writtenBytes);
+    expect(bufferedBytes).to.be.below(MAX_BUFFERED_BYTES);
+    let readByteCount = 0;
     for await (const chunk of answer.body) {
-      read += (chunk as Uint8Array).length;
+      readByteCount += (chunk as Uint8Array).length;
     }
-    expect(read).to.equal(HUGE_BYTES);
+    expect(readByteCount).to.equal(HUGE_BYTES);
   });
 
   it("holds back a large body that its backend server doesn't read", async () => {
     respond = (socket) => socket.pause();
-    let sent = 0;
+    let sentBytes = 0;
     async function* produce() {
-      while (sent < HUGE_BYTES) {
-        sent += CHUNK.length;
+      while (sentBytes < HUGE_BYTES) {
+        sentBytes += CHUNK.length;
         yield CHUNK;
         await Promise.resolve();
       }
     }
-    const leave = new AbortController();
+    const abortController = new AbortController();
     const upload = request(`http://${edge}/upload`, {
       method: "POST",
       body: Readable.from(produce()),
-      signal: leave.signal,
+      signal: abortController.signal,
     }).catch(() => undefined);
-    const held = await waitStill(() => sent);
-    expect(held).to.be.below(MAX_BUFFERED_BYTES);
-    leave.abort();
+    const bufferedBytes = await waitUntilStable(() => sentBytes);
+    expect(bufferedBytes).to.be.below(MAX_BUFFERED_BYTES);
+    abortController.abort();
     await upload;
   });
 
@@ -268,8 +274,11 @@
     );
     expect(isUnsent(refused)).to.equal(true);
     for (const code of ["EHOSTUNREACH", "ECONNRESET", "ECONNREFUSED"]) {
-      const late = Object.assign(new Error(code), { code, syscall: "read" });
-      expect(isUnsent(late)).to.equal(false);
+      const lateError = Object.assign(new Error(code), {
+        code,
+        syscall: "read",
+      });
+      expect(isUnsent(lateError)).to.equal(false);
     }
   });
 });
