--- a/src/engine/call/test/entry_retry_test.ts
+++ b/src/engine/call/test/entry_retry_test.ts
@@ -1,4 +1,4 @@
-/** Retries of calls, queries about attempts and outcomes, on one node. */
+/** Retries, status requests and outcomes of calls on one node. */
 import { expect } from "chai";
 import type { FoundAttempt } from "../../peer/common/peer_messages.ts";
 import { BUDGET_FLOOR, BUDGET_SHARE } from "../../retry/common/retry_budget.ts";
@@ -69,8 +69,11 @@
     this.step({ type: "AttemptAnswered", attemptId, answer });
   }
 
-  /** Replies to a query about an attempt; undefined for a lost reply. */
-  replyToQuery(attemptId: string, found: FoundAttempt | undefined): void {
+  /** Replies to a status request; undefined if no reply was received. */
+  replyToStatusRequest(
+    attemptId: string,
+    found: FoundAttempt | undefined,
+  ): void {
     const requestId = `attempts:${attemptId}`;
     const reply = found === undefined
       ? undefined
@@ -92,20 +95,20 @@
 const ENDED: FoundAttempt = { type: "AttemptKnown", phase: "ended" };
 
 describe("a non-idempotent attempt that failed after it was sent", () => {
-  it("is queried on a new connection, and retried once fenced", () => {
+  it("has its status requested on a new connection, and is retried once fenced", () => {
     const node = new TestNode(TRANSFER);
     const first = node.call("x");
     node.failAttempt(first.attemptId, true);
-    const query = node.findEffect("AskPeer")!;
-    expect(query.isFresh).to.equal(true);
-    expect(query.address).to.equal(first.address);
-    expect(query.message).to.deep.equal({
+    const statusRequest = node.findEffect("AskPeer")!;
+    expect(statusRequest.isFresh).to.equal(true);
+    expect(statusRequest.address).to.equal(first.address);
+    expect(statusRequest.message).to.deep.equal({
       type: "FenceAttempts",
       incarnation: 1,
       attempts: [{ attemptId: first.attemptId, ageMs: 0 }],
     });
     expect(node.findEffect("SendAttempt")).to.equal(undefined);
-    node.replyToQuery(first.attemptId, FENCED);
+    node.replyToStatusRequest(first.attemptId, FENCED);
     expect(node.findEffect("SendAttempt")!.address).to.not.equal(first.address);
   });
 
@@ -114,14 +117,14 @@
       const node = new TestNode(TRANSFER);
       const { attemptId } = node.call("x");
       node.failAttempt(attemptId, true);
-      node.replyToQuery(attemptId, reply);
+      node.replyToStatusRequest(attemptId, reply);
       expect(node.findEffect("SendAttempt")).to.equal(undefined);
       expect(node.outcome).to.equal("unknown");
       expect(node.state.entries.size).to.equal(0);
     });
   }
 
-  it("is retried without a query if no byte was written", () => {
+  it("is retried without a status request if no byte was written", () => {
     const node = new TestNode(TRANSFER);
     const first = node.call("x");
     node.failAttempt(first.attemptId, false);
@@ -179,26 +182,26 @@
   it("is kept as long as its receiver reports that it is running", () => {
     const node = new TestNode(TRANSFER);
     const { attemptId } = node.call("x");
-    let queryCount = 0;
+    let requestCount = 0;
     for (let i = 0; i < 300; i++) {
       node.step({ type: "Ticked" }, 100);
       if (node.findEffect("AskPeer") !== undefined) {
-        queryCount += 1;
-        node.replyToQuery(attemptId, RUNNING);
+        requestCount += 1;
+        node.replyToStatusRequest(attemptId, RUNNING);
         expect(node.effects).to.deep.equal([]);
       }
     }
-    expect(queryCount).to.be.within(25, 30);
+    expect(requestCount).to.be.within(25, 30);
     expect(node.state.entries.has("x")).to.equal(true);
   });
 
-  it("is queried in one message with others at its receiver", () => {
+  it("is in one status request with others at its receiver", () => {
     const node = new TestNode(TRANSFER, [1, 2]);
     const sent = ["a", "b", "c", "d"].map((id) => node.call(id));
     node.step({ type: "Ticked" }, 600);
     node.call("late");
     node.step({ type: "Ticked" }, 400);
-    const queried = node.effects.flatMap((effect) =>
+    const requested = node.effects.flatMap((effect) =>
       effect.type === "AskPeer" && effect.message.type === "FenceAttempts"
         ? effect.message.attempts.map(({ attemptId }) => [
           attemptId,
@@ -206,7 +209,7 @@
         ])
         : []
     );
-    expect(queried).to.have.deep.members(
+    expect(requested).to.have.deep.members(
       sent.map(({ attemptId, address }) => [attemptId, address]),
     );
     const receivers = new Set(sent.map(({ address }) => address));
@@ -218,7 +221,7 @@
     const first = node.call("x");
     node.step({ type: "Ticked" }, 1_000);
     expect(node.findEffect("AskPeer")!.isFresh).to.equal(true);
-    node.replyToQuery(first.attemptId, FENCED);
+    node.replyToStatusRequest(first.attemptId, FENCED);
     expect(node.effects.map(({ type }) => type)).to.deep.equal([
       "AbortAttempt",
       "DropConnections",
@@ -233,10 +236,10 @@
       const node = new TestNode(TRANSFER);
       const { attemptId } = node.call("x");
       node.step({ type: "Ticked" }, 1_000);
-      node.replyToQuery(attemptId, reply);
+      node.replyToStatusRequest(attemptId, reply);
       expect(node.effects).to.deep.equal([]);
       node.step({ type: "Ticked" }, 300);
-      node.replyToQuery(attemptId, reply);
+      node.replyToStatusRequest(attemptId, reply);
       expect(node.outcome).to.equal("unknown");
       expect(node.findEffect("DropConnections")).to.not.equal(undefined);
       expect(node.findEffect("SendAttempt")).to.equal(undefined);
@@ -266,7 +269,7 @@
       for (const isNew of [true, false]) {
         node.step({ type: "AnswerQuiet", attemptId, isNew });
         expect(node.findEffect("AskPeer")!.isFresh).to.equal(true);
-        node.replyToQuery(attemptId, { type: "AttemptKnown", phase });
+        node.replyToStatusRequest(attemptId, { type: "AttemptKnown", phase });
       }
       expect(node.findEffect("DropExchange")!.exchangeId).to.equal("x");
       expect(node.state.entries.size).to.equal(0);
@@ -278,7 +281,10 @@
     const attemptId = "x.1";
     for (let i = 0; i < 20; i++) {
       node.step({ type: "AnswerQuiet", attemptId, isNew: i === 0 });
-      node.replyToQuery(attemptId, { type: "AttemptKnown", phase: "relaying" });
+      node.replyToStatusRequest(attemptId, {
+        type: "AttemptKnown",
+        phase: "relaying",
+      });
       expect(node.effects).to.deep.equal([]);
     }
   });
@@ -299,8 +305,8 @@
     node.call(`in-${attemptId}`, { listener: "ingress", contextHeader });
   }
 
-  /** Queries the node about an attempt, after a further 10 s. */
-  function queryAttempt(
+  /** Requests the status of an attempt from the node, 10 s later. */
+  function requestStatus(
     node: TestNode,
     attemptId: string,
     incarnation = 1,
@@ -320,7 +326,7 @@
 
   it("never runs an attempt that it has fenced", () => {
     const node = new TestNode(TRANSFER);
-    expect(queryAttempt(node, "a")).to.deep.equal(FENCED);
+    expect(requestStatus(node, "a")).to.deep.equal(FENCED);
     receiveAttempt(node, "a");
     expect(node.findEffect("SendAttempt")).to.equal(undefined);
     expect(node.outcome).to.equal("not-run");
@@ -328,21 +334,21 @@
 
   it("proves nothing about an earlier process at its address", () => {
     const node = new TestNode(TRANSFER);
-    expect(queryAttempt(node, "a", 0)).to.deep.equal(FORGOTTEN);
+    expect(requestStatus(node, "a", 0)).to.deep.equal(FORGOTTEN);
   });
 
   it("reports the phase of a run, and runs no attempt id twice", () => {
     const node = new TestNode(TRANSFER);
     receiveAttempt(node, "a");
-    expect(queryAttempt(node, "a")).to.deep.equal(RUNNING);
+    expect(requestStatus(node, "a")).to.deep.equal(RUNNING);
     receiveAttempt(node, "a");
     expect(node.findEffect("SendAttempt")).to.equal(undefined);
     expect(node.outcome).to.equal("unknown");
     node.failAttempt("a", true);
     // It ends only after the probe has shown whether the backend server died.
-    expect(queryAttempt(node, "a")).to.deep.equal(RUNNING);
+    expect(requestStatus(node, "a")).to.deep.equal(RUNNING);
     node.step({ type: "BackendProbed", isAlive: true });
-    expect(queryAttempt(node, "a")).to.deep.equal(ENDED);
+    expect(requestStatus(node, "a")).to.deep.equal(ENDED);
     receiveAttempt(node, "a");
     expect(node.outcome).to.equal("unknown");
   });
--- a/src/engine/call/test/table_intake_test.ts
+++ b/src/engine/call/test/table_intake_test.ts
@@ -1,4 +1,4 @@
-/** Which tables a starting node puts in force. */
+/** Which tables a starting node activates. */
 import { expect } from "chai";
 import type { Table } from "../../table/common/table_row.ts";
 import { reduceNode } from "../common/node_reducer.ts";
