--- a/src/daemon/node_daemon.ts
+++ b/src/daemon/node_daemon.ts
@@ -221,7 +221,7 @@
     const hintConnections = hasHints(this.#settings) ? HINT_CONNECTIONS : 0;
     return new CallServer({
       loop: this.#watch,
-      noteConnection: () => {
+      recordConnection: () => {
         this.#watch.noteAccepted();
         this.#firstRequests.noteAccepted();
       },
--- a/src/daemon/test/clock_carriers_test.ts
+++ b/src/daemon/test/clock_carriers_test.ts
@@ -68,7 +68,7 @@
     },
     dispatch: (event) => receive(event, calls),
     loop: { lagMs: 0, runOnceRead: (run) => run() },
-    noteConnection: () => {},
+    recordConnection: () => {},
     firstRequests: { queuedMs: 0, hold: (run) => run() },
     connections: 2,
     clock,
--- a/src/engine/call/node/call_server.ts
+++ b/src/engine/call/node/call_server.ts
@@ -48,7 +48,7 @@
   /** Delays requests while the event loop lags. */
   readonly loop: CallLoop;
   /** Called for each accepted connection; more may be in the accept queue. */
-  readonly noteConnection: () => void;
+  readonly recordConnection: () => void;
   /** Delays the first request of each connection. */
   readonly firstRequests: FirstRequestQueue;
   /** Maximum number of connections to one address. */
@@ -123,7 +123,7 @@
       }, (request, response) => {
         this.#receiveRequest(name, request, response);
       });
-      server.on("connection", this.#options.noteConnection);
+      server.on("connection", this.#options.recordConnection);
       this.#servers.push(server);
       await listen(server, listeners[name]);
     }
--- a/src/engine/call/test/node_network.ts
+++ b/src/engine/call/test/node_network.ts
@@ -73,7 +73,7 @@
    * Whether a request between nodes is lost. A "late" request is delivered
    * once no other event is queued, after its sender has seen it fail.
    */
-  readonly loseRequest?: () => "lost" | "late" | undefined;
+  readonly chooseRequestLoss?: () => "lost" | "late" | undefined;
   readonly isAnswerLost: () => boolean;
   readonly isReplyLost: () => boolean;
 }
@@ -102,7 +102,7 @@
 export class NodeNetwork {
   readonly nodes = new Map<string, NodeState>();
   /** Ids of all attempts that the nodes recorded as sent. */
-  readonly sent: string[] = [];
+  readonly sentAttemptIds: string[] = [];
   /** By exchange id. */
   readonly answers = new Map<string, ObservedAnswer>();
   nowMs = 1_000_000;
@@ -132,7 +132,7 @@
   }
 
   /** Enqueues an event for a node. */
-  post(nodeId: string, event: NodeEvent): void {
+  enqueueEvent(nodeId: string, event: NodeEvent): void {
     this.#queue.push([nodeId, event]);
   }
 
@@ -148,7 +148,7 @@
   }
 
   /** Calls `then` once a call made by the test has been answered. */
-  waitAnswer(exchangeId: string, then: () => void): void {
+  notifyOnAnswer(exchangeId: string, then: () => void): void {
     this.#answerCallbacks.set(exchangeId, then);
   }
 
@@ -172,7 +172,7 @@
     listener: "edge" | "egress" | "ingress",
     contextHeader: string | undefined,
   ): void {
-    this.post(nodeId, {
+    this.enqueueEvent(nodeId, {
       type: "CallReceived",
       exchangeId,
       listener,
@@ -188,21 +188,21 @@
     switch (effect.type) {
       case "RecordEvent":
         if (effect.event.type === "AttemptSent") {
-          this.sent.push(effect.event.attemptId);
+          this.sentAttemptIds.push(effect.event.attemptId);
         }
         return;
       case "SendAttempt":
         this.#send(nodeId, effect);
         return;
       case "ProbeBackend":
-        this.post(nodeId, { type: "BackendProbed", isAlive: true });
+        this.enqueueEvent(nodeId, { type: "BackendProbed", isAlive: true });
         return;
       case "AnswerCall":
         this.#deliverAnswer(effect.exchangeId, effect.status, effect.headers);
         return;
       case "RelayAnswer":
         this.#deliverAnswer(effect.exchangeId, 200, effect.headers);
-        this.post(nodeId, {
+        this.enqueueEvent(nodeId, {
           type: "AttemptEnded",
           attemptId: effect.attemptId,
         });
@@ -215,7 +215,7 @@
           this.#exchangeOfAttempt.get(effect.attemptId) ??
             [];
         if (peerId !== undefined && exchangeId !== undefined) {
-          this.post(peerId, { type: "CallerLeft", exchangeId });
+          this.enqueueEvent(peerId, { type: "CallerLeft", exchangeId });
         }
         return;
       }
@@ -223,7 +223,7 @@
         const askId = this.#nextId++;
         const { requestId, address, message } = effect;
         this.#pendingAsks.set(askId, { senderId: nodeId, requestId });
-        this.post(address.split(":")[0]!, {
+        this.enqueueEvent(address.split(":")[0]!, {
           type: "PeerAsked",
           askId,
           message,
@@ -233,7 +233,7 @@
       case "AnswerPeer": {
         const { senderId, requestId } = this.#pendingAsks.get(effect.askId)!;
         const reply = this.#choices.isReplyLost() ? undefined : effect.reply;
-        this.post(senderId, { type: "PeerReplied", requestId, reply });
+        this.enqueueEvent(senderId, { type: "PeerReplied", requestId, reply });
         return;
       }
     }
@@ -250,7 +250,7 @@
     const peerId = address.split(":")[0]!;
     this.#exchangeOfAttempt.set(attemptId, [peerId, exchangeId]);
     this.#receive(peerId, exchangeId, "ingress", encodeContext(context));
-    const loss = this.#choices.loseRequest?.();
+    const loss = this.#choices.chooseRequestLoss?.();
     if (loss === undefined) {
       return;
     }
@@ -260,7 +260,7 @@
     }
     const reason = "lost";
     const type = "AttemptFailed";
-    this.post(nodeId, { type, attemptId, isSent: true, reason });
+    this.enqueueEvent(nodeId, { type, attemptId, isSent: true, reason });
   }
 
   #deliverAnswer(
@@ -277,7 +277,7 @@
     const { senderId, attemptId } = hop;
     if (this.#choices.isAnswerLost()) {
       const reason = "lost";
-      this.post(senderId, {
+      this.enqueueEvent(senderId, {
         type: "AttemptFailed",
         attemptId,
         isSent: true,
@@ -287,8 +287,8 @@
     }
     const tokens = Number(headers["basilpin-tokens"] ?? 0);
     const answer = { status, outcome, tokens, isDraining: false };
-    this.post(senderId, { type: "AttemptAnswered", attemptId, answer });
-    this.post(senderId, { type: "AttemptEnded", attemptId });
+    this.enqueueEvent(senderId, { type: "AttemptAnswered", attemptId, answer });
+    this.enqueueEvent(senderId, { type: "AttemptEnded", attemptId });
   }
 
   #recordAnswer(
--- a/src/engine/call/test/whole_answer_test.ts
+++ b/src/engine/call/test/whole_answer_test.ts
@@ -85,7 +85,7 @@
       },
       dispatch: (event) => loop.dispatch(event),
       loop: { lagMs: 0, runOnceRead: (run) => run() },
-      noteConnection: () => {},
+      recordConnection: () => {},
       firstRequests: { queuedMs: 0, hold: (run) => run() },
       connections: 4,
     });
--- a/src/engine/retry/test/retry_tokens_test.ts
+++ b/src/engine/retry/test/retry_tokens_test.ts
@@ -74,7 +74,7 @@
     if (isDrawn(50)) {
       goOn();
     } else {
-      network.waitAnswer(exchangeId, goOn);
+      network.notifyOnAnswer(exchangeId, goOn);
     }
   }
 
@@ -94,7 +94,7 @@
       fail(network, run, true);
       return;
     }
-    network.post(nodeId, {
+    network.enqueueEvent(nodeId, {
       type: "AttemptAnswered",
       attemptId,
       answer: { status: 200, outcome: "ran", tokens: 0, isDraining: false },
@@ -105,7 +105,7 @@
     const { attemptId } = run.send;
     const reason = "fault";
     const type = "AttemptFailed";
-    network.post(run.nodeId, { type, attemptId, isSent, reason });
+    network.enqueueEvent(run.nodeId, { type, attemptId, isSent, reason });
   }
 
   function runBackend(network: NodeNetwork, run: BackendRun): void {
@@ -137,7 +137,7 @@
     return isDrawn(plan.lossPercent / 2) ? loss : undefined;
   };
   const network = new NodeNetwork(row, 4, {
-    loseRequest,
+    chooseRequestLoss: loseRequest,
     runBackend,
     isAnswerLost: () => isDrawn(plan.lossPercent),
     isReplyLost: () => isDrawn(plan.lossPercent),
@@ -147,7 +147,7 @@
   const notRun = [...network.answers].flatMap(([exchangeId, { outcome }]) =>
     outcome === "not-run" ? [exchangeId] : []
   );
-  return { attempts: network.sent, runs, notRun };
+  return { attempts: network.sentAttemptIds, runs, notRun };
 }
 
 /** Counts runs by the exchange id of their call. */
@@ -225,7 +225,7 @@
     network.run();
     const { nodeId, send } = runs[0]!;
     const { attemptId } = send;
-    network.post(nodeId, {
+    network.enqueueEvent(nodeId, {
       type: "AttemptAnswered",
       attemptId,
       answer: { status: 200, outcome: "ran", tokens: 0, isDraining: false },
@@ -246,7 +246,7 @@
     network.call("n0", "edge");
     network.run();
     const { nodeId, send } = runs[0]!;
-    network.post(nodeId, {
+    network.enqueueEvent(nodeId, {
       type: "AttemptAnswered",
       attemptId: send.attemptId,
       answer: { status: 200, outcome: "ran", tokens: 0, isDraining: false },
