--- a/src/engine/call/test/entry_retry_test.ts
+++ b/src/engine/call/test/entry_retry_test.ts
@@ -357,8 +357,8 @@
 describe("an attempt whose backend server does not answer in time", () => {
   for (const hasOtherAnswered of [false, true]) {
     const action = hasOtherAnswered ? "does not replace" : "replaces";
-    const other = hasOtherAnswered ? "another was" : "no other was";
-    it(`${action} the connections to it if ${other} answered`, () => {
+    const condition = hasOtherAnswered ? "another was" : "no other was";
+    it(`${action} the connections to it if ${condition} answered`, () => {
       const node = new TestNode(TRANSFER, [0]);
       const { attemptId } = node.call("x");
       const other = node.call("other");
@@ -408,18 +408,18 @@
 describe("a node's retries", () => {
   it("stay a small share of its first attempts", () => {
     const node = new TestNode({ ...ROW, retries: 8 });
-    let firsts = 0;
+    let firstAttempts = 0;
     let retries = 0;
     for (let i = 0; i < 500; i++) {
       let attempt: SendAttempt | undefined = node.call(`x${i}`);
-      firsts += 1;
+      firstAttempts += 1;
       while (attempt !== undefined) {
         node.refuseAttempt(attempt.attemptId);
         attempt = node.findEffect("SendAttempt");
         retries += attempt === undefined ? 0 : 1;
       }
     }
-    expect(retries).to.equal(BUDGET_FLOOR + BUDGET_SHARE * firsts);
+    expect(retries).to.equal(BUDGET_FLOOR + BUDGET_SHARE * firstAttempts);
   });
 
   // Otherwise repeats would increase the retry budgets of downstream services.
--- a/src/engine/call/test/node_network.ts
+++ b/src/engine/call/test/node_network.ts
@@ -74,7 +74,9 @@
    * once no other event is queued, after its sender has seen it fail.
    */
   readonly chooseRequestLoss?: () => "lost" | "late" | undefined;
+  /** Whether an answer between nodes is lost. */
   readonly isAnswerLost: () => boolean;
+  /** Whether the reply to a peer message is lost. */
   readonly isReplyLost: () => boolean;
 }
 
@@ -117,6 +119,7 @@
   readonly #exchangeOfAttempt = new Map<string, readonly [string, string]>();
   /** Callbacks for the answers of calls, by exchange id. */
   readonly #answerCallbacks = new Map<string, () => void>();
+  /** Sender and request id of each peer message, by `askId`. */
   readonly #pendingAsks = new Map<
     number,
     { senderId: string; requestId: string }
--- a/src/engine/call/test/quarantine_steps_test.ts
+++ b/src/engine/call/test/quarantine_steps_test.ts
@@ -11,7 +11,7 @@
 import { findOwner } from "../common/quarantine_steps.ts";
 import { createMember, createNode, ROW } from "./node_network.ts";
 
-/** Digest of the request that crashes a backend server. */
+/** Digest of a request that crashes each backend server that runs it. */
 const GUILTY_DIGEST = "guilty";
 const GUILTY_FINGERPRINT = `${ROW.kind}|${GUILTY_DIGEST}`;
 const MEMBERS = [0, 1, 2, 3].map((i) => createMember(i));
@@ -225,10 +225,13 @@
     const service = new TestService();
     service.receive("n0", GUILTY_DIGEST);
     service.crash("n0");
-    const fresh = { ...MEMBERS[3]!, incarnation: 2 };
-    service.nodes.set("n3", createNode(fresh, ROW, MEMBERS));
+    const restarted = { ...MEMBERS[3]!, incarnation: 2 };
+    service.nodes.set("n3", createNode(restarted, ROW, MEMBERS));
     for (const { nodeId } of MEMBERS) {
-      service.step(nodeId, { type: "MemberPublished", announcement: fresh });
+      service.step(nodeId, {
+        type: "MemberPublished",
+        announcement: restarted,
+      });
     }
     const { known } = service.nodes.get("n3")!.quarantine;
     expect([...known.keys()]).to.deep.equal([GUILTY_FINGERPRINT]);
@@ -271,6 +274,7 @@
     const service = new TestService();
     service.receive("n0", GUILTY_DIGEST);
     service.receive("n0", "innocent");
+    // Runs at n1 during the second crash too, and so explains both crashes.
     service.receive("n1", GUILTY_DIGEST);
     service.crash("n0");
     const leasedRun = service.receive("n1", "innocent");
@@ -297,6 +301,7 @@
     )!.nodeId;
     service.silentNodeId =
       MEMBERS.find(({ nodeId }) => nodeId !== owner && nodeId !== "n1")!.nodeId;
+    // The owner clears the suspect; the silent node misses the notification.
     service.finish("n1", rerun);
     const uninformedNodeId = service.silentNodeId;
     service.silentNodeId = undefined;
@@ -320,6 +325,7 @@
     notifications.shift()!();
     const rerun = service.receive("n1", "innocent");
     service.finish("n1", rerun);
+    // The crash is reported to these nodes after the suspect was cleared.
     notifications.forEach((deliver) => deliver());
     for (const { quarantine } of service.nodes.values()) {
       expect([...quarantine.known.keys()]).to.deep.equal([]);
@@ -328,11 +334,11 @@
   });
 
   it("crash at most two backend servers, whatever runs beside them", () => {
-    const ids = fc.constantFrom(...MEMBERS.map(({ nodeId }) => nodeId));
+    const nodeIds = fc.constantFrom(...MEMBERS.map(({ nodeId }) => nodeId));
     const digest = fc.constantFrom("a", "b", "c", "d");
     const action = fc.record({
       type: fc.constantFrom("resend", "innocent", "finish", "tick", "leave"),
-      nodeId: ids,
+      nodeId: nodeIds,
       digest,
     });
     fc.assert(
