--- a/src/engine/call/node/call_reading.ts
+++ b/src/engine/call/node/call_reading.ts
@@ -65,7 +65,7 @@
 
 /**
  * Hashes method, target and body. If the body is not buffered, hashes its
- * Content-Length in its place.
+ * Content-Length in its place; chunked bodies then all hash alike.
  */
 function computeRequestDigest(
   request: IncomingMessage,
