--- a/src/engine/admission/common/admission_capacity.ts
+++ b/src/engine/admission/common/admission_capacity.ts
@@ -6,39 +6,45 @@
   KindState,
 } from "./admission_types.ts";
 import { MIN_LIMIT } from "./concurrency_limit.ts";
-import { limitSlots } from "./ramp.ts";
-import { UNKNOWN_TIME } from "./service_time.ts";
+import { computeRampSlots } from "./ramp.ts";
+import { UNKNOWN_SERVICE_TIME } from "./service_time.ts";
 
 /** Fewest requests that may wait, however low the limit. */
-const MIN_QUEUE = 4;
+const MIN_QUEUE_SIZE = 4;
 /**
  * Requests that may wait for each one that may run. One for one is too short
  * for arrivals at random: at a load of just the capacity it refuses a fifth.
  */
-const QUEUE_TURNS = 4;
+const QUEUED_PER_RUNNING = 4;
 
-const UNUSED_KIND: KindState = {
+const INITIAL_KIND_STATE: KindState = {
   usedAtMs: 0,
   theoreticalMs: 0,
   finishTag: 0,
-  time: UNKNOWN_TIME,
+  time: UNKNOWN_SERVICE_TIME,
 };
 
 /** Computes how many requests may run now: slots, ramp and latency. */
 export function computeCapacity(state: AdmissionState, nowMs: number): number {
   const { slots, limit, ramp } = state;
   const floor = Math.min(MIN_LIMIT, slots);
-  const capacity = Math.min(limit.value, limitSlots(ramp, slots, nowMs));
+  const capacity = Math.min(limit.value, computeRampSlots(ramp, slots, nowMs));
   return Math.floor(Math.max(floor, capacity));
 }
 
 /** Computes how many may wait: a few service times' worth. */
-export function computeQueueSize(state: AdmissionState, nowMs: number): number {
-  return Math.max(MIN_QUEUE, QUEUE_TURNS * computeCapacity(state, nowMs));
+export function computeMaxQueueSize(
+  state: AdmissionState,
+  nowMs: number,
+): number {
+  return Math.max(
+    MIN_QUEUE_SIZE,
+    QUEUED_PER_RUNNING * computeCapacity(state, nowMs),
+  );
 }
 
 /** Whether one more request of its kind may run. */
-export function hasRoom(
+export function hasFreeCapacity(
   state: AdmissionState,
   request: AdmissionRequest,
   nowMs: number,
@@ -52,30 +58,30 @@
  * Whether the time that is left doesn't cover the expected service time. One
  * of a kind always runs, so that a wrong estimate is corrected.
  */
-export function isHopeless(
+export function hasInsufficientTime(
   state: AdmissionState,
   request: AdmissionRequest,
   nowMs: number,
 ): boolean {
   const leftMs = request.deadlineMs - nowMs;
   const { kind } = request.row;
-  const { expectedMs } = findKind(state, kind).time;
+  const { expectedMs } = getKindState(state, kind).time;
   return leftMs <= 0 ||
     (leftMs < (expectedMs ?? 0) && countRunning(state, kind) > 0);
 }
 
 /** Finds what is known of a kind. */
-export function findKind(state: AdmissionState, kind: string): KindState {
-  return state.kinds.get(kind) ?? UNUSED_KIND;
+export function getKindState(state: AdmissionState, kind: string): KindState {
+  return state.kinds.get(kind) ?? INITIAL_KIND_STATE;
 }
 
 /** Updates what is known of a kind. */
-export function updateKind(
+export function updateKindState(
   state: AdmissionState,
   kind: string,
   change: Partial<KindState>,
 ): AdmissionState {
-  const next = { ...findKind(state, kind), ...change };
+  const next = { ...getKindState(state, kind), ...change };
   return { ...state, kinds: setEntry(state.kinds, kind, next) };
 }
 
--- a/src/engine/admission/common/admission_level.ts
+++ b/src/engine/admission/common/admission_level.ts
@@ -9,7 +9,7 @@
 }
 
 /** What places a request above or below a level. */
-export interface Ranked {
+export interface AdmissionPriority {
   /** 0 to 9. */
   readonly importance: number;
   readonly admissionHash: number;
@@ -44,7 +44,10 @@
 }
 
 /** Whether a request is below the level. */
-export function isBelowLevel(request: Ranked, level: AdmissionLevel): boolean {
+export function isBelowLevel(
+  request: AdmissionPriority,
+  level: AdmissionLevel,
+): boolean {
   return request.importance < level.importance ||
     (request.importance === level.importance &&
       request.admissionHash < level.hash);
--- a/src/engine/admission/common/admission_queue.ts
+++ b/src/engine/admission/common/admission_queue.ts
@@ -7,11 +7,11 @@
 import type { Reduction } from "../../../base/common/reduction.ts";
 import {
   computeCapacity,
-  computeQueueSize,
-  findKind,
-  hasRoom,
-  isHopeless,
-  updateKind,
+  computeMaxQueueSize,
+  getKindState,
+  hasFreeCapacity,
+  hasInsufficientTime,
+  updateKindState,
 } from "./admission_capacity.ts";
 import type {
   AdmissionEffect,
@@ -21,7 +21,7 @@
   RefusalReason,
 } from "./admission_types.ts";
 import { computeStartTag, selectNext, selectVictim } from "./fair_queue.ts";
-import { noteOverload } from "./level_control.ts";
+import { recordOverload } from "./level_control.ts";
 import { computeRetryAfter } from "./retry_after.ts";
 
 /** A step of the admission. */
@@ -32,9 +32,9 @@
 /** Longest wait in an overloaded queue, where a service time isn't longer. */
 const TARGET_WAIT_MS = 50;
 /** Part of a row's timeout that may go into the wait. */
-const WAIT_PART = 8;
+const WAIT_DIVISOR = 8;
 /** The same for work already invested, and where no service time is known. */
-const LONG_WAIT_PART = 4;
+const LONG_WAIT_DIVISOR = 4;
 
 /** Runs queued requests while there is room, in the order of the queue. */
 export function runQueued(
@@ -51,13 +51,13 @@
   const next = selectNext(state.queue, {
     kinds: state.kinds,
     virtualMs: state.virtualMs,
-    hasRoom: (request) => hasRoom(state, request, nowMs),
+    hasFreeCapacity: (request) => hasFreeCapacity(state, request, nowMs),
   });
   if (next === undefined) {
     return createReduction(state);
   }
-  const step = isHopeless(state, next, nowMs)
-    ? discardQueued(state, next, "deadline", nowMs)
+  const step = hasInsufficientTime(state, next, nowMs)
+    ? refuseQueued(state, next, "deadline", nowMs)
     : runRequest(state, next, nowMs);
   return chainReduction(step, (s) => runQueued(s, nowMs));
 }
@@ -70,7 +70,7 @@
 ): AdmissionStep {
   const { kind, queue: most } = arrived.row;
   const sameKind = state.queue.filter((request) => request.row.kind === kind);
-  const isOver = state.queue.length > computeQueueSize(state, nowMs);
+  const isOver = state.queue.length > computeMaxQueueSize(state, nowMs);
   const victim = sameKind.length > most
     ? selectVictim(sameKind)
     : isOver
@@ -81,7 +81,7 @@
   }
   const isArrived = victim.attemptId === arrived.attemptId;
   const reason = isArrived ? "queue_full" : "displaced";
-  return discardQueued(state, victim, reason, nowMs);
+  return refuseQueued(state, victim, reason, nowMs);
 }
 
 /** Gives up queued requests whose time no longer suffices. */
@@ -89,9 +89,9 @@
   state: AdmissionState,
   nowMs: number,
 ): AdmissionStep {
-  return discardAll(
+  return refuseAll(
     state,
-    state.queue.filter((request) => isHopeless(state, request, nowMs)),
+    state.queue.filter((request) => hasInsufficientTime(state, request, nowMs)),
     "deadline",
     nowMs,
   );
@@ -103,7 +103,10 @@
  * timeout: a quarter of it for calls of other services, whose work would be
  * lost with them, and where no service time is known.
  */
-export function cutWait(state: AdmissionState, nowMs: number): AdmissionStep {
+export function shedLateRequests(
+  state: AdmissionState,
+  nowMs: number,
+): AdmissionStep {
   const { queue, busySinceMs, running } = state;
   // Where only a row is full, its own queue and the deadline bound the wait.
   const isFull = running.size >= computeCapacity(state, nowMs);
@@ -113,9 +116,9 @@
   const lowest = Math.min(...queue.map((request) => request.importance));
   const late = queue.filter((request) =>
     request.importance === lowest &&
-    nowMs - request.queuedAtMs > computeMostWait(state, request)
+    nowMs - request.queuedAtMs > computeMaxWait(state, request)
   );
-  return discardAll(state, late, "queue_wait", nowMs);
+  return refuseAll(state, late, "queue_wait", nowMs);
 }
 
 /** Refuses a request that is in no queue. */
@@ -140,8 +143,8 @@
   const { attemptId, row } = request;
   const { kind, weight } = row;
   const startTag = computeStartTag(state, kind);
-  const costMs = Math.max(1, findKind(state, kind).time.expectedMs ?? 1);
-  const charged = updateKind(state, kind, {
+  const costMs = Math.max(1, getKindState(state, kind).time.expectedMs ?? 1);
+  const charged = updateKindState(state, kind, {
     finishTag: startTag + costMs / weight,
   });
   const running = setEntry(state.running, attemptId, {
@@ -152,12 +155,12 @@
   return createReduction({
     ...charged,
     running,
-    queue: dropQueued(state.queue, attemptId),
+    queue: removeQueued(state.queue, attemptId),
     virtualMs: startTag,
   }, [{ type: "RunRequest", attemptId }]);
 }
 
-function discardAll(
+function refuseAll(
   state: AdmissionState,
   requests: readonly QueuedRequest[],
   reason: RefusalReason,
@@ -165,12 +168,12 @@
 ): AdmissionStep {
   return requests.reduce<AdmissionStep>(
     (step, request) =>
-      chainReduction(step, (s) => discardQueued(s, request, reason, nowMs)),
+      chainReduction(step, (s) => refuseQueued(s, request, reason, nowMs)),
     createReduction(state),
   );
 }
 
-function discardQueued(
+function refuseQueued(
   state: AdmissionState,
   request: QueuedRequest,
   reason: RefusalReason,
@@ -178,13 +181,13 @@
 ): AdmissionStep {
   const { attemptId } = request;
   const isOverload = reason === "queue_wait"
-    ? isLong(state, request, nowMs)
+    ? isBacklogTooLong(state, request, nowMs)
     // Only a full backend server is overloaded, not a row at its own limit.
     : state.running.size >= computeCapacity(state, nowMs);
   const level = isOverload
-    ? noteOverload(state.level, request.importance)
+    ? recordOverload(state.level, request.importance)
     : state.level;
-  const queue = dropQueued(state.queue, attemptId);
+  const queue = removeQueued(state.queue, attemptId);
   return refuseRequest({ ...state, queue, level }, attemptId, reason);
 }
 
@@ -192,29 +195,29 @@
  * Whether the whole queue takes longer than one may wait. In a shorter one, a
  * request waits as long only because of those that go before it.
  */
-function isLong(
+function isBacklogTooLong(
   state: AdmissionState,
   request: QueuedRequest,
   nowMs: number,
 ): boolean {
-  const { expectedMs } = findKind(state, request.row.kind).time;
+  const { expectedMs } = getKindState(state, request.row.kind).time;
   const turns = state.queue.length / computeCapacity(state, nowMs);
   return expectedMs === undefined ||
-    turns * expectedMs > computeMostWait(state, request);
+    turns * expectedMs > computeMaxWait(state, request);
 }
 
-function computeMostWait(
+function computeMaxWait(
   state: AdmissionState,
   request: QueuedRequest,
 ): number {
   const { kind, timeoutMs } = request.row;
-  const { expectedMs } = findKind(state, kind).time;
+  const { expectedMs } = getKindState(state, kind).time;
   const isShort = expectedMs !== undefined && request.depth === 0;
-  const part = isShort ? WAIT_PART : LONG_WAIT_PART;
+  const part = isShort ? WAIT_DIVISOR : LONG_WAIT_DIVISOR;
   return Math.max(TARGET_WAIT_MS, expectedMs ?? 0, timeoutMs / part);
 }
 
-function dropQueued(
+function removeQueued(
   queue: readonly QueuedRequest[],
   attemptId: string,
 ): readonly QueuedRequest[] {
--- a/src/engine/admission/common/admission_reducer.ts
+++ b/src/engine/admission/common/admission_reducer.ts
@@ -5,18 +5,18 @@
   createReduction,
 } from "../../../base/common/reduction.ts";
 import {
-  findKind,
-  hasRoom,
-  isHopeless,
-  updateKind,
+  getKindState,
+  hasFreeCapacity,
+  hasInsufficientTime,
+  updateKindState,
 } from "./admission_capacity.ts";
 import { isBelowLevel } from "./admission_level.ts";
 import {
   BUSY_INTERVAL_MS,
-  cutWait,
   expireQueued,
   refuseRequest,
   runQueued,
+  shedLateRequests,
   trimQueue,
 } from "./admission_queue.ts";
 import type { AdmissionStep } from "./admission_queue.ts";
@@ -27,16 +27,20 @@
   KindState,
   RunningRequest,
 } from "./admission_types.ts";
-import { createLimit, noteSlowdown, updateLimit } from "./concurrency_limit.ts";
 import {
-  INITIAL_LEVEL,
-  noteArrival,
+  createLimit,
+  recordSlowdown,
+  updateLimit,
+} from "./concurrency_limit.ts";
+import {
+  INITIAL_LEVEL_CONTROL,
   readLevel,
+  recordArrival,
   updateLevel,
 } from "./level_control.ts";
-import { INITIAL_RAMP, noteRun, startRamp } from "./ramp.ts";
+import { INITIAL_RAMP, recordRunResult, startRamp } from "./ramp.ts";
 import { checkRate } from "./rate_limit.ts";
-import { computeSlowdown, noteLatency } from "./service_time.ts";
+import { computeSlowdown, recordLatency } from "./service_time.ts";
 
 /** A kind that no request uses for so long is forgotten. */
 const KIND_TTL_MS = 600_000;
@@ -52,7 +56,7 @@
     busySinceMs: undefined,
     limit: createLimit(slots),
     ramp: INITIAL_RAMP,
-    level: INITIAL_LEVEL,
+    level: INITIAL_LEVEL_CONTROL,
   };
 }
 
@@ -78,7 +82,7 @@
     case "RequestArrived":
       return admitRequest(state, event.request, nowMs);
     case "RequestAnswered":
-      return createReduction(noteAnswer(state, event, nowMs));
+      return createReduction(recordAnswer(state, event, nowMs));
     case "RequestFinished":
       return finishRequest(state, event, nowMs);
     case "RequestWithdrawn":
@@ -101,20 +105,22 @@
   const isBelow = level !== undefined && isBelowLevel(request, level);
   const counted = isBelow
     ? state
-    : { ...state, level: noteArrival(state.level, request.importance) };
-  if (isHopeless(counted, request, nowMs)) {
+    : { ...state, level: recordArrival(state.level, request.importance) };
+  if (hasInsufficientTime(counted, request, nowMs)) {
     return refuseRequest(counted, attemptId, "deadline");
   }
   // Work already invested isn't thrown away while the queue has a place.
-  if (isBelow && request.depth === 0 && !hasRoom(counted, request, nowMs)) {
+  if (
+    isBelow && request.depth === 0 && !hasFreeCapacity(counted, request, nowMs)
+  ) {
     return refuseRequest(counted, attemptId, "level");
   }
-  const { theoreticalMs } = findKind(counted, row.kind);
+  const { theoreticalMs } = getKindState(counted, row.kind);
   const check = checkRate(theoreticalMs, row.rate, nowMs);
   if (check.type === "Exceeds") {
     return refuseRequest(counted, attemptId, "rate", check.waitMs);
   }
-  const charged = updateKind(counted, row.kind, {
+  const charged = updateKindState(counted, row.kind, {
     usedAtMs: nowMs,
     theoreticalMs: check.theoreticalMs,
   });
@@ -123,7 +129,7 @@
   return chainReduction(step, (s) => trimQueue(s, request, nowMs));
 }
 
-function noteAnswer(
+function recordAnswer(
   state: AdmissionState,
   answered: { readonly attemptId: string; readonly downstreamMs?: number },
   nowMs: number,
@@ -140,16 +146,16 @@
   const latencyMs = nowMs - run.startedAtMs;
   // What it waited for others says nothing of this backend server's load.
   const ownMs = latencyMs - downstreamMs;
-  const { time } = findKind(state, run.kind);
-  const next = noteDelay(state, run, ownMs);
-  return updateKind(
+  const { time } = getKindState(state, run.kind);
+  const next = recordRunSlowdown(state, run, ownMs);
+  return updateKindState(
     {
       ...next,
       running,
-      ramp: noteRun(state.ramp, true, nowMs),
+      ramp: recordRunResult(state.ramp, true, nowMs),
     },
     run.kind,
-    { time: noteLatency(time, { latencyMs, ownMs }, nowMs) },
+    { time: recordLatency(time, { latencyMs, ownMs }, nowMs) },
   );
 }
 
@@ -165,13 +171,13 @@
   }
   const noted = run.isAnswered
     ? state
-    : noteUnanswered(state, run, finished, nowMs);
+    : recordUnanswered(state, run, finished, nowMs);
   const running = deleteEntry(state.running, attemptId);
   return runQueued({ ...noted, running }, nowMs);
 }
 
 /** A run without an answer says at least how long the answer didn't come. */
-function noteUnanswered(
+function recordUnanswered(
   state: AdmissionState,
   run: RunningRequest,
   finished: Extract<AdmissionEvent, { type: "RequestFinished" }>,
@@ -179,24 +185,24 @@
 ): AdmissionState {
   const { result, downstreamMs = 0 } = finished;
   if (result === "failed") {
-    return { ...state, ramp: noteRun(state.ramp, false, nowMs) };
+    return { ...state, ramp: recordRunResult(state.ramp, false, nowMs) };
   }
   const elapsedMs = nowMs - run.startedAtMs - downstreamMs;
-  const { time } = findKind(state, run.kind);
+  const { time } = getKindState(state, run.kind);
   const isSlow = (computeSlowdown(time, elapsedMs) ?? 0) > 1;
-  return isSlow ? noteDelay(state, run, elapsedMs) : state;
+  return isSlow ? recordRunSlowdown(state, run, elapsedMs) : state;
 }
 
-function noteDelay(
+function recordRunSlowdown(
   state: AdmissionState,
   run: RunningRequest,
   latencyMs: number,
 ): AdmissionState {
-  const { time } = findKind(state, run.kind);
+  const { time } = getKindState(state, run.kind);
   const slowdown = computeSlowdown(time, latencyMs);
   return slowdown === undefined
     ? state
-    : { ...state, limit: noteSlowdown(state.limit, slowdown) };
+    : { ...state, limit: recordSlowdown(state.limit, slowdown) };
 }
 
 function applyTick(state: AdmissionState, nowMs: number): AdmissionStep {
@@ -206,14 +212,14 @@
   const moved: AdmissionState = {
     ...state,
     limit,
-    kinds: forgetKinds(state.kinds, nowMs),
+    kinds: evictIdleKinds(state.kinds, nowMs),
   };
-  const next = isIdle && queue.length === 0 ? clearTags(moved) : moved;
+  const next = isIdle && queue.length === 0 ? resetFinishTags(moved) : moved;
   const ran = chainReduction(
     expireQueued(next, nowMs),
     (s) => runQueued(s, nowMs),
   );
-  const cut = chainReduction(ran, (s) => cutWait(s, nowMs));
+  const cut = chainReduction(ran, (s) => shedLateRequests(s, nowMs));
   const { busySinceMs } = state;
   const isStanding = queue.length > 0 &&
     nowMs - (busySinceMs ?? nowMs) >= BUSY_INTERVAL_MS;
@@ -221,7 +227,7 @@
   return { ...cut, state: { ...cut.state, level } };
 }
 
-function forgetKinds(
+function evictIdleKinds(
   kinds: AdmissionState["kinds"],
   nowMs: number,
 ): AdmissionState["kinds"] {
@@ -233,7 +239,7 @@
 }
 
 /** An idle backend server owes no kind anything. */
-function clearTags(state: AdmissionState): AdmissionState {
+function resetFinishTags(state: AdmissionState): AdmissionState {
   if (state.virtualMs === 0) {
     return state;
   }
--- a/src/engine/admission/common/call_tree.ts
+++ b/src/engine/admission/common/call_tree.ts
@@ -23,27 +23,27 @@
   readonly countNodes: () => ReadonlyMap<string, number>;
 }
 
-interface Judged {
+interface CachedDetection {
   readonly isNested: boolean;
-  readonly judgedAtMs: number;
+  readonly detectedAtMs: number;
 }
 
-interface ListedParents {
+interface CachedParents {
   readonly parents: readonly string[];
   readonly listedAtMs: number;
 }
 
 /** A judgement holds for so long: it costs a pass over all reports. */
-const HOLD_MS = 200;
+const CACHE_TTL_MS = 200;
 /** Counts with a smaller standard error are certain enough to decide. */
-const CERTAIN_ERROR = 0.15;
+const MAX_STANDARD_ERROR = 0.15;
 /**
  * From this share on, a route's calls are the backend server's: the counts
  * leave out what long runs explain, up to half.
  */
-const NESTED_SHARE = 0.4;
+const MIN_NESTED_SHARE = 0.4;
 /** Below it none are, whatever the spread says. */
-const ROOT_SHARE = 0.1;
+const MAX_ROOT_SHARE = 0.1;
 /**
  * A route whose runs explain less of a callee's calls, for certain, does not
  * call it. Routes that call nobody came to 0.03 at most within ten seconds of
@@ -57,13 +57,13 @@
  */
 const MAX_CALLS_PER_RUN = 50;
 /** Standard errors that make an estimate certain. */
-const CERTAIN_ERRORS = 2;
+const CONFIDENCE_STANDARD_ERRORS = 2;
 
 /** What one node knows of the calls that begin on its VM. */
 export class CallTree {
   readonly #inputs: CallTreeInputs;
-  readonly #judged = new Map<string, Judged>();
-  readonly #parents = new Map<string, ListedParents>();
+  readonly #detections = new Map<string, CachedDetection>();
+  readonly #cachedParents = new Map<string, CachedParents>();
   /** Service that a route's calls went to last. */
   readonly #services = new Map<string, string>();
 
@@ -74,31 +74,31 @@
   /** Notes a call, and tells whether the backend server made it. */
   observe(call: Callee, nowMs: number): boolean {
     const { coincidences } = this.#inputs;
-    coincidences.noteCall(call.route, nowMs);
+    coincidences.recordCall(call.route, nowMs);
     this.#services.set(call.route, call.service);
     return this.isNested(call.route, nowMs);
   }
 
   /** Whether the calls of a route are made by the backend server. */
   isNested(route: string, nowMs: number): boolean {
-    const before = this.#judged.get(route);
-    if (before !== undefined && nowMs - before.judgedAtMs < HOLD_MS) {
+    const before = this.#detections.get(route);
+    if (before !== undefined && nowMs - before.detectedAtMs < CACHE_TTL_MS) {
       return before.isNested;
     }
-    const isNested = this.#judge(route, nowMs);
-    this.#judged.set(route, { isNested, judgedAtMs: nowMs });
+    const isNested = this.#detectNested(route, nowMs);
+    this.#detections.set(route, { isNested, detectedAtMs: nowMs });
     return isNested;
   }
 
   /** Lists the routes whose requests make calls, and what they call. */
   listEdges(nowMs: number): readonly (readonly [string, readonly Callee[]])[] {
     const edges = new Map<string, Callee[]>();
-    for (const route of this.#inputs.coincidences.listCalled()) {
+    for (const route of this.#inputs.coincidences.listCalledRoutes()) {
       const service = this.#services.get(route);
       if (service === undefined || !this.isNested(route, nowMs)) {
         continue;
       }
-      for (const parent of this.#listCallers(route)) {
+      for (const parent of this.#findParents(route)) {
         const callees = edges.get(parent) ?? [];
         edges.set(parent, callees);
         callees.push({ route, service });
@@ -109,41 +109,45 @@
 
   /** Lists the routes whose runs may make the calls of a route. */
   listParents(route: string, nowMs: number): readonly string[] {
-    const before = this.#parents.get(route);
-    if (before !== undefined && nowMs - before.listedAtMs < HOLD_MS) {
+    const before = this.#cachedParents.get(route);
+    if (before !== undefined && nowMs - before.listedAtMs < CACHE_TTL_MS) {
       return before.parents;
     }
-    const parents = this.#listCallers(route);
+    const parents = this.#findParents(route);
     if (parents.length === 0) {
-      this.#parents.delete(route);
+      this.#cachedParents.delete(route);
     } else {
-      this.#parents.set(route, { parents, listedAtMs: nowMs });
+      this.#cachedParents.set(route, { parents, listedAtMs: nowMs });
     }
     return parents;
   }
 
   /** A route that runs beside calls counts until it is shown to make none. */
-  #listCallers(route: string): readonly string[] {
+  #findParents(route: string): readonly string[] {
     const { coincidences } = this.#inputs;
     return coincidences.listParents(route).filter((parent) => {
-      const { share, error } = coincidences.explainBy(route, parent);
+      const { share, error } = coincidences.estimateShareByParent(
+        route,
+        parent,
+      );
       const isRare = coincidences.countCallsPerRun(route, parent) >
         MAX_CALLS_PER_RUN;
-      return !isRare && share + CERTAIN_ERRORS * error >= MIN_EDGE_SHARE;
+      return !isRare &&
+        share + CONFIDENCE_STANDARD_ERRORS * error >= MIN_EDGE_SHARE;
     });
   }
 
-  #judge(route: string, nowMs: number): boolean {
+  #detectNested(route: string, nowMs: number): boolean {
     const { coincidences, spread, getService, countNodes } = this.#inputs;
-    const { share, error } = coincidences.explain(route);
-    const isCertain = error <= CERTAIN_ERROR;
-    const bySpread = spread.judge(route, {
+    const { share, error } = coincidences.estimateShare(route);
+    const isCertain = error <= MAX_STANDARD_ERROR;
+    const bySpread = spread.detectNested(route, {
       service: getService(),
       nodes: countNodes(),
       nowMs,
     });
     return bySpread === true
-      ? !isCertain || share >= ROOT_SHARE
-      : isCertain && share >= NESTED_SHARE;
+      ? !isCertain || share >= MAX_ROOT_SHARE
+      : isCertain && share >= MIN_NESTED_SHARE;
   }
 }
--- a/src/engine/admission/common/caller_spread.ts
+++ b/src/engine/admission/common/caller_spread.ts
@@ -13,9 +13,9 @@
   callers: readonly (readonly [service: string, calls: number])[],
 ])[];
 
-interface Count {
+interface DecayingCount {
   calls: number;
-  notedAtMs: number;
+  updatedAtMs: number;
 }
 
 /** After so long a call counts half. */
@@ -25,26 +25,27 @@
 /** Fewer calls than this decide nothing. */
 const MIN_CALLS = 10;
 /** Calls of any route that show that callers can reach a service's VMs. */
-const MIN_ALIVE = 20;
+const MIN_CALLER_CALLS = 20;
 /**
  * A VM of another service sends less than this part of what a VM of the own
  * service sends: callers' requests differ by less, as each service has VMs in
  * several data centres.
  */
-const NESTED_PART = 0.2;
+const MAX_NESTED_RATIO = 0.2;
 
 /** Counts what arrives at one gate. */
 export class SpreadCounter {
-  readonly #routes = new Map<string, Map<string, Count>>();
+  readonly #routes = new Map<string, Map<string, DecayingCount>>();
 
   /** Counts a call that began on a VM of a service. */
   note(route: string, callerService: string, nowMs: number): void {
-    const callers = this.#routes.get(route) ?? new Map<string, Count>();
+    const callers = this.#routes.get(route) ?? new Map<string, DecayingCount>();
     this.#routes.set(route, callers);
-    const count = callers.get(callerService) ?? { calls: 0, notedAtMs: nowMs };
+    const count = callers.get(callerService) ??
+      { calls: 0, updatedAtMs: nowMs };
     callers.set(callerService, count);
-    count.calls = computeDecayed(count, nowMs) + 1;
-    count.notedAtMs = nowMs;
+    count.calls = computeDecayedCount(count, nowMs) + 1;
+    count.updatedAtMs = nowMs;
   }
 
   /** Creates what other nodes are told. */
@@ -54,7 +55,7 @@
         route,
         [...callers]
           .map(([service, count]) =>
-            [service, Math.round(computeDecayed(count, nowMs))] as const
+            [service, Math.round(computeDecayedCount(count, nowMs))] as const
           )
           .filter(([, calls]) => calls > 0),
       ] as const
@@ -62,25 +63,25 @@
   }
 }
 
-interface HeardReport {
+interface ReceivedReport {
   readonly report: SpreadReport;
-  readonly heardAtMs: number;
+  readonly receivedAtMs: number;
 }
 
 /** Sums what gates report. */
 export class CallerSpread {
-  readonly #reports = new Map<string, HeardReport>();
+  readonly #reports = new Map<string, ReceivedReport>();
 
   /** Takes the report of the gate at an address. */
   hear(address: string, report: SpreadReport, nowMs: number): void {
-    this.#reports.set(address, { report, heardAtMs: nowMs });
+    this.#reports.set(address, { report, receivedAtMs: nowMs });
   }
 
   /**
    * Judges whether calls of a route from VMs of a service are made by its
    * backend servers; undefined where too little is known.
    */
-  judge(
+  detectNested(
     route: string,
     asked: {
       readonly service: string;
@@ -97,29 +98,32 @@
     }
     const own = calls / Math.max(1, nodes.get(service) ?? 1);
     const others = [...nodes].filter(([name, count]) =>
-      name !== service && count > 0 && (alive.get(name) ?? 0) >= MIN_ALIVE &&
-      own * count * NESTED_PART >= 1
+      name !== service && count > 0 &&
+      (alive.get(name) ?? 0) >= MIN_CALLER_CALLS &&
+      own * count * MAX_NESTED_RATIO >= 1
     );
     return others.length === 0
       ? undefined
       : others.some(([name, count]) =>
-        (callers.get(name) ?? 0) / count < own * NESTED_PART
+        (callers.get(name) ?? 0) / count < own * MAX_NESTED_RATIO
       );
   }
 
   #sum(route: string, nowMs: number) {
     const callers = new Map<string, number>();
     const alive = new Map<string, number>();
-    for (const [address, { report, heardAtMs }] of this.#reports) {
+    for (
+      const [address, { report, receivedAtMs: heardAtMs }] of this.#reports
+    ) {
       if (nowMs - heardAtMs > REPORT_VALID_MS) {
         this.#reports.delete(address);
         continue;
       }
       for (const [name, counts] of report) {
         for (const [service, calls] of counts) {
-          addTo(alive, service, calls);
+          addCount(alive, service, calls);
           if (name === route) {
-            addTo(callers, service, calls);
+            addCount(callers, service, calls);
           }
         }
       }
@@ -128,10 +132,17 @@
   }
 }
 
-function computeDecayed({ calls, notedAtMs }: Count, nowMs: number): number {
+function computeDecayedCount(
+  { calls, updatedAtMs: notedAtMs }: DecayingCount,
+  nowMs: number,
+): number {
   return calls * 0.5 ** ((nowMs - notedAtMs) / HALF_LIFE_MS);
 }
 
-function addTo(counts: Map<string, number>, name: string, more: number): void {
+function addCount(
+  counts: Map<string, number>,
+  name: string,
+  more: number,
+): void {
   counts.set(name, (counts.get(name) ?? 0) + more);
 }
--- a/src/engine/admission/common/coincidence.ts
+++ b/src/engine/admission/common/coincidence.ts
@@ -9,7 +9,7 @@
  */
 
 /** How much of a route's calls another route's runs explain. */
-export interface Explanation {
+export interface ShareEstimate {
   /** 0 where they have nothing to do with each other, 1 where all are made. */
   readonly share: number;
   /** Standard error of the share. */
@@ -27,7 +27,7 @@
 
 interface Pair {
   /** Runs that calls found in this interval. */
-  found: number;
+  observed: number;
   /** Runs found beyond the mean, over the intervals before. */
   excess: number;
   variance: number;
@@ -49,7 +49,7 @@
 const INTERVAL_MS = 1_000;
 /** After so long an interval counts half: routes move to other services. */
 const HALF_LIFE_MS = 10_000;
-const UNKNOWN: Explanation = { share: 0, error: Infinity };
+const UNKNOWN_SHARE: ShareEstimate = { share: 0, error: Infinity };
 
 /** Counts at one node. Routes that were never seen have no entry. */
 export class CoincidenceCounter {
@@ -69,7 +69,7 @@
   }
 
   /** A call of a route came from this VM. */
-  noteCall(route: string, nowMs: number): void {
+  recordCall(route: string, nowMs: number): void {
     this.#advance(nowMs);
     const calls = this.#calls.get(route) ??
       { count: 0, total: 0, pairs: new Map<string, Pair>() };
@@ -77,26 +77,26 @@
     calls.count += 1;
     for (const [name, { running }] of this.#parents) {
       if (name !== route && running > 0) {
-        getPair(calls, name).found += running;
+        getPair(calls, name).observed += running;
       }
     }
   }
 
   /** Estimates how much all runs together explain of a route's calls. */
-  explain(route: string): Explanation {
+  estimateShare(route: string): ShareEstimate {
     const calls = this.#calls.get(route);
     return calls === undefined
-      ? UNKNOWN
-      : computeExplanation([...calls.pairs.values()], calls.total);
+      ? UNKNOWN_SHARE
+      : computeShareEstimate([...calls.pairs.values()], calls.total);
   }
 
   /** Estimates how much the runs of one route explain. */
-  explainBy(route: string, parent: string): Explanation {
+  estimateShareByParent(route: string, parent: string): ShareEstimate {
     const calls = this.#calls.get(route);
     const pair = calls?.pairs.get(parent);
     return pair === undefined
-      ? UNKNOWN
-      : computeExplanation([pair], calls!.total);
+      ? UNKNOWN_SHARE
+      : computeShareEstimate([pair], calls!.total);
   }
 
   /** Counts the calls of a route for each run of another one. */
@@ -112,7 +112,7 @@
   }
 
   /** Lists the routes that were called. */
-  listCalled(): readonly string[] {
+  listCalledRoutes(): readonly string[] {
     return [...this.#calls.keys()];
   }
 
@@ -132,7 +132,7 @@
     for (const [route, parent] of this.#parents) {
       parent.runMs = 0;
       parent.runs *= kept;
-      if (parent.running === 0 && !this.#isPaired(route)) {
+      if (parent.running === 0 && !this.#hasPair(route)) {
         this.#parents.delete(route);
       }
     }
@@ -149,21 +149,22 @@
         continue;
       }
       const pair = getPair(calls, name);
-      pair.excess = pair.excess * kept + pair.found - expected;
+      pair.excess = pair.excess * kept + pair.observed - expected;
       pair.variance = pair.variance * kept + expected;
-      pair.found = 0;
+      pair.observed = 0;
     }
     calls.total = calls.total * kept + count;
     calls.count = 0;
   }
 
-  #isPaired(parent: string): boolean {
+  #hasPair(parent: string): boolean {
     return [...this.#calls.values()].some(({ pairs }) => pairs.has(parent));
   }
 }
 
 function getPair(calls: Calls, parent: string): Pair {
-  const pair = calls.pairs.get(parent) ?? { found: 0, excess: 0, variance: 0 };
+  const pair = calls.pairs.get(parent) ??
+    { observed: 0, excess: 0, variance: 0 };
   calls.pairs.set(parent, pair);
   return pair;
 }
@@ -174,12 +175,12 @@
 }
 
 /** Runs that chance puts beside calls are Poisson distributed. */
-function computeExplanation(
+function computeShareEstimate(
   pairs: readonly Pair[],
   total: number,
-): Explanation {
+): ShareEstimate {
   if (total < 1) {
-    return UNKNOWN;
+    return UNKNOWN_SHARE;
   }
   const excess = pairs.reduce((sum, pair) => sum + pair.excess, 0);
   const variance = pairs.reduce((sum, pair) => sum + pair.variance, 0);
--- a/src/engine/admission/common/concurrency_limit.ts
+++ b/src/engine/admission/common/concurrency_limit.ts
@@ -10,7 +10,7 @@
   readonly value: number;
   readonly slowdownSum: number;
   readonly slowdownCount: number;
-  readonly movedAtMs: number;
+  readonly updatedAtMs: number;
 }
 
 /** What the next limit is computed from. */
@@ -24,20 +24,20 @@
 /** Lowest limit, where the backend server announced as many slots. */
 export const MIN_LIMIT = 2;
 /** Recent latency may be this many times the baseline. */
-const TOLERANCE = 2;
-const LEAST_GRADIENT = 0.5;
-const SMOOTHING = 0.5;
-const WINDOW_MS = 100;
-const LONGEST_WINDOW_MS = 1_000;
-const WINDOW_SAMPLES = 4;
+const LATENCY_TOLERANCE = 2;
+const MIN_GRADIENT = 0.5;
+const SMOOTHING_FACTOR = 0.5;
+const MIN_WINDOW_MS = 100;
+const MAX_WINDOW_MS = 1_000;
+const MIN_WINDOW_SAMPLES = 4;
 
 /** Creates the limit of a backend server with `slots`. */
 export function createLimit(slots: number): ConcurrencyLimit {
-  return { value: slots, slowdownSum: 0, slowdownCount: 0, movedAtMs: 0 };
+  return { value: slots, slowdownSum: 0, slowdownCount: 0, updatedAtMs: 0 };
 }
 
 /** Takes in how many times its baseline one answer took. */
-export function noteSlowdown(
+export function recordSlowdown(
   limit: ConcurrencyLimit,
   slowdown: number,
 ): ConcurrencyLimit {
@@ -55,17 +55,17 @@
   inputs: LimitInputs,
 ): ConcurrencyLimit {
   const { nowMs, isIdle } = inputs;
-  const ageMs = nowMs - limit.movedAtMs;
-  const isFull = limit.slowdownCount >= WINDOW_SAMPLES ||
-    (limit.slowdownCount > 0 && ageMs >= LONGEST_WINDOW_MS);
-  if (ageMs < WINDOW_MS || !(isFull || isIdle)) {
+  const ageMs = nowMs - limit.updatedAtMs;
+  const isFull = limit.slowdownCount >= MIN_WINDOW_SAMPLES ||
+    (limit.slowdownCount > 0 && ageMs >= MAX_WINDOW_MS);
+  if (ageMs < MIN_WINDOW_MS || !(isFull || isIdle)) {
     return limit;
   }
   return {
     value: computeLimit(limit, inputs),
     slowdownSum: 0,
     slowdownCount: 0,
-    movedAtMs: nowMs,
+    updatedAtMs: nowMs,
   };
 }
 
@@ -74,10 +74,12 @@
   const slowdown = Math.exp(slowdownSum / Math.max(1, slowdownCount));
   const gradient = Math.min(
     1,
-    Math.max(LEAST_GRADIENT, TOLERANCE / slowdown),
+    Math.max(MIN_GRADIENT, LATENCY_TOLERANCE / slowdown),
   );
   const target = value * gradient + Math.sqrt(value);
-  const next = target > value ? target : value + SMOOTHING * (target - value);
+  const next = target > value
+    ? target
+    : value + SMOOTHING_FACTOR * (target - value);
   const floor = Math.min(MIN_LIMIT, inputs.slots);
   return Math.min(inputs.slots, Math.max(floor, next));
 }
--- a/src/engine/admission/common/fair_queue.ts
+++ b/src/engine/admission/common/fair_queue.ts
@@ -2,17 +2,17 @@
 import type { KindState, QueuedRequest } from "./admission_types.ts";
 
 /** What decides whose turn it is. */
-export interface TurnInputs {
+export interface SelectionInputs {
   readonly kinds: ReadonlyMap<string, KindState>;
   readonly virtualMs: number;
-  readonly hasRoom: (request: QueuedRequest) => boolean;
+  readonly hasFreeCapacity: (request: QueuedRequest) => boolean;
 }
 
 /**
  * Orders requests of one kind, first to run first: importance, hash of the
  * root, work already invested, age.
  */
-export function compareRank(a: QueuedRequest, b: QueuedRequest): number {
+export function comparePriority(a: QueuedRequest, b: QueuedRequest): number {
   return b.importance - a.importance || b.admissionHash - a.admissionHash ||
     b.depth - a.depth || a.queuedAtMs - b.queuedAtMs;
 }
@@ -23,20 +23,20 @@
  */
 export function selectNext(
   queue: readonly QueuedRequest[],
-  inputs: TurnInputs,
+  inputs: SelectionInputs,
 ): QueuedRequest | undefined {
-  const ready = queue.filter(inputs.hasRoom);
+  const ready = queue.filter(inputs.hasFreeCapacity);
   const top = Math.max(...ready.map((request) => request.importance));
   return ready.filter((request) => request.importance === top)
     .toSorted((a, b) =>
       computeStartTag(inputs, a.row.kind) -
-        computeStartTag(inputs, b.row.kind) || compareRank(a, b)
+        computeStartTag(inputs, b.row.kind) || comparePriority(a, b)
     )[0];
 }
 
 /** Computes the start tag of the next request of a kind. */
 export function computeStartTag(
-  inputs: Pick<TurnInputs, "kinds" | "virtualMs">,
+  inputs: Pick<SelectionInputs, "kinds" | "virtualMs">,
   kind: string,
 ): number {
   const finishTag = inputs.kinds.get(kind)?.finishTag ?? 0;
@@ -52,14 +52,15 @@
 ): QueuedRequest | undefined {
   const lowest = Math.min(...queue.map((request) => request.importance));
   const low = queue.filter((request) => request.importance === lowest);
-  const held = countKinds(low);
+  const held = countByKind(low);
   return low.toReversed().toSorted((a, b) =>
-    computeHold(held, b) - computeHold(held, a) || compareRank(b, a)
+    computeQueueShare(held, b) - computeQueueShare(held, a) ||
+    comparePriority(b, a)
   )[0];
 }
 
 /** Counts requests by kind. */
-export function countKinds(
+export function countByKind(
   requests: readonly QueuedRequest[],
 ): ReadonlyMap<string, number> {
   const counts = new Map<string, number>();
@@ -69,7 +70,7 @@
   return counts;
 }
 
-function computeHold(
+function computeQueueShare(
   held: ReadonlyMap<string, number>,
   request: QueuedRequest,
 ): number {
--- a/src/engine/admission/common/level_control.ts
+++ b/src/engine/admission/common/level_control.ts
@@ -15,13 +15,13 @@
   /** Importance in the whole part, share of the hashes in the rest. */
   readonly place: number;
   /** Calm windows in a row. */
-  readonly calm: number;
+  readonly calmWindows: number;
   /** Arrivals of the window at or over the level, by importance. */
   readonly arrivals: readonly number[];
   /** Refusals of the window for want of capacity. */
   readonly refused: number;
   /** Highest importance among them. */
-  readonly refusedTop: number;
+  readonly maxRefusedImportance: number;
   /** Share that the last windows refused, 0 to 1. */
   readonly pressure: number;
 }
@@ -29,27 +29,27 @@
 const NO_ARRIVALS: readonly number[] = Array(MAX_IMPORTANCE + 1).fill(0);
 
 /** No level, nothing counted. */
-export const INITIAL_LEVEL: LevelControl = {
+export const INITIAL_LEVEL_CONTROL: LevelControl = {
   place: 0,
-  calm: 0,
+  calmWindows: 0,
   arrivals: NO_ARRIVALS,
   refused: 0,
-  refusedTop: 0,
+  maxRefusedImportance: 0,
   pressure: 0,
 };
 
 /** Some of the most important always pass, however high the load. */
-const HIGHEST_PLACE = MAX_IMPORTANCE + 0.9;
+const MAX_POSITION = MAX_IMPORTANCE + 0.9;
 /** Part of the excess cut at a time, as its effect shows only later. */
-const CUT_GAIN = 0.3;
-const LEAST_CUT = 0.01;
-const MOST_CUT = 0.3;
+const SHED_GAIN = 0.3;
+const MIN_SHED_SHARE = 0.01;
+const MAX_SHED_SHARE = 0.3;
 /** First step down; it doubles with each calm window. */
-const FIRST_STEP = 0.02;
+const INITIAL_DECREASE = 0.02;
 const PRESSURE_GAIN = 0.2;
 
 /** Counts an arrival. */
-export function noteArrival(
+export function recordArrival(
   control: LevelControl,
   importance: number,
 ): LevelControl {
@@ -59,12 +59,16 @@
 }
 
 /** Counts a request refused for want of capacity. */
-export function noteOverload(
+export function recordOverload(
   control: LevelControl,
   importance: number,
 ): LevelControl {
-  const refusedTop = Math.max(control.refusedTop, importance);
-  return { ...control, refused: control.refused + 1, refusedTop };
+  const refusedTop = Math.max(control.maxRefusedImportance, importance);
+  return {
+    ...control,
+    refused: control.refused + 1,
+    maxRefusedImportance: refusedTop,
+  };
 }
 
 /**
@@ -79,14 +83,24 @@
   const share = Math.min(1, control.refused / Math.max(1, total));
   const pressure = control.pressure +
     PRESSURE_GAIN * (share - control.pressure);
-  const window = { ...INITIAL_LEVEL, pressure };
+  const window = { ...INITIAL_LEVEL_CONTROL, pressure };
   if (control.refused > 0 && isStanding) {
-    const cut = Math.min(MOST_CUT, Math.max(LEAST_CUT, CUT_GAIN * share));
-    return { ...window, place: raisePlace(control, cut * total), calm: 0 };
+    const cut = Math.min(
+      MAX_SHED_SHARE,
+      Math.max(MIN_SHED_SHARE, SHED_GAIN * share),
+    );
+    return {
+      ...window,
+      place: raisePosition(control, cut * total),
+      calmWindows: 0,
+    };
   }
-  const calm = control.calm + 1;
-  const place = Math.max(0, control.place - FIRST_STEP * 2 ** control.calm);
-  return { ...window, place, calm: place === 0 ? 0 : calm };
+  const calm = control.calmWindows + 1;
+  const place = Math.max(
+    0,
+    control.place - INITIAL_DECREASE * 2 ** control.calmWindows,
+  );
+  return { ...window, place, calmWindows: place === 0 ? 0 : calm };
 }
 
 /** Reads the level; undefined where nothing is to be refused early. */
@@ -98,8 +112,8 @@
  * Hashes are uniform, so a share of an importance is a share of its range.
  * Nothing over the importances that were refused is cut.
  */
-function raisePlace(control: LevelControl, cut: number): number {
-  const highest = Math.min(HIGHEST_PLACE, control.refusedTop + 1);
+function raisePosition(control: LevelControl, cut: number): number {
+  const highest = Math.min(MAX_POSITION, control.maxRefusedImportance + 1);
   if (control.place >= highest) {
     return control.place;
   }
--- a/src/engine/admission/common/level_view.ts
+++ b/src/engine/admission/common/level_view.ts
@@ -2,16 +2,16 @@
 import { hashText } from "../../../base/common/hash.ts";
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 import { isBelowLevel } from "./admission_level.ts";
-import type { AdmissionLevel, Ranked } from "./admission_level.ts";
+import type { AdmissionLevel, AdmissionPriority } from "./admission_level.ts";
 
 /** A level that a backend server's node said. */
-export interface SeenLevel {
+export interface CachedLevel {
   readonly level: AdmissionLevel;
   readonly expiresAtMs: number;
 }
 
 /** Levels by node id and kind, the latest one last. */
-export type LevelView = ReadonlyMap<string, SeenLevel>;
+export type LevelView = ReadonlyMap<string, CachedLevel>;
 
 /** A level as it stood on an answer; undefined: the answer named none. */
 export interface LevelReport {
@@ -28,7 +28,7 @@
 }
 
 /** A request that has cost nothing yet. */
-export interface EarlyRequest extends Ranked, ServiceKind {
+export interface EarlyRequest extends AdmissionPriority, ServiceKind {
   /** Draws the probes. */
   readonly id: string;
 }
@@ -38,7 +38,7 @@
 /** A level that no answer renews is forgotten after this time. */
 export const LEVEL_TTL_MS = 1_000;
 /** One in so many goes through, so that a fallen level is learned. */
-const PROBE_ONE_IN = 50;
+const PROBE_INTERVAL = 50;
 
 /** Keeps the level of an answer; one without a level clears it. */
 export function noteLevel(
@@ -86,7 +86,7 @@
   request: EarlyRequest,
   nowMs: number,
 ): boolean {
-  if (view.size === 0 || hashText(request.id, 3) % PROBE_ONE_IN === 0) {
+  if (view.size === 0 || hashText(request.id, 3) % PROBE_INTERVAL === 0) {
     return false;
   }
   const level = readServiceLevel(view, request, nowMs);
--- a/src/engine/admission/common/overload_pressure.ts
+++ b/src/engine/admission/common/overload_pressure.ts
@@ -16,18 +16,18 @@
   integral: number;
   windowStartMs: number;
   /** Milliseconds of service that were asked for in the window. */
-  askedMs: number;
+  requestedMs: number;
   /** Smoothed work asked for, as a part of the room. */
   demand: number;
   /** Requests that arrived, and that ended without use, in the window. */
-  arrived: number;
-  lost: number;
+  arrivedCount: number;
+  lostCount: number;
   /** Smoothed share of what was lost. */
   lostShare: number;
   /** Least backlog that the window has seen, in milliseconds of all room. */
-  leastBacklogMs: number;
+  minBacklogMs: number;
   /** Most requests that ran at a time in the window. */
-  mostRunning: number;
+  maxRunning: number;
 }
 
 /** Room as it is now. */
@@ -46,14 +46,14 @@
 /** Weight of a window in the smoothed demand: about 300 ms. */
 const DEMAND_GAIN = 0.3;
 /** Part of the room that is to be asked for: waits grow steeply above. */
-const TARGET = 0.95;
+const TARGET_DEMAND = 0.95;
 /**
  * Part of the error that is added a second. A request asks for work for about
  * 0.7 s after it is begun, and a pressure of one takes some 0.9 of the room
  * off: a larger part makes it swing.
  */
-const INTEGRAL_PER_S = 0.6;
-const PROPORTIONAL = 0.2;
+const INTEGRAL_GAIN_PER_S = 0.6;
+const PROPORTIONAL_GAIN = 0.2;
 /** The most urgent rank is only refused for what just happened. */
 const MAX_INTEGRAL = 0.85;
 /** Larger errors, of a storm or of an idle second, count as these. */
@@ -63,28 +63,28 @@
  * Pressure for each second of a backlog that never empties in a window: it is
  * what was begun too much, and reacts before the slow part does.
  */
-const PER_BACKLOG_S = 3;
-const MAX_BY_BACKLOG = 0.4;
+const PRESSURE_PER_BACKLOG_S = 3;
+const MAX_BACKLOG_PRESSURE = 0.4;
 /** Part of that which is added to the error, so that no backlog stays. */
-const BACKLOG_ERROR = 0.75;
+const BACKLOG_ERROR_GAIN = 0.75;
 
 /**
  * Error for each share of requests lost: one that is lost here stands for all
  * the work of its root, some eight calls.
  */
-const LOST_ERROR = 4;
-const MAX_LOST_ERROR = 0.5;
+const LOSS_ERROR_GAIN = 4;
+const MAX_LOSS_ERROR = 0.5;
 
 /**
  * With less of its places taken through a whole window a backend server is not
  * short of room, whatever was lost: its runs waited for what they call.
  */
-const IDLE_SHARE = 0.5;
+const MAX_IDLE_UTILIZATION = 0.5;
 /**
  * Part of the slow part that is left after such a window: roots are not refused
  * for a backend server whose places stand idle.
  */
-const IDLE_KEPT = 0.5;
+const IDLE_INTEGRAL_RATIO = 0.5;
 
 /** Creates the state of a backend server that is not short of room. */
 export function createPressure(nowMs: number): PressureState {
@@ -92,20 +92,20 @@
     pressure: 0,
     integral: 0,
     windowStartMs: nowMs,
-    askedMs: 0,
+    requestedMs: 0,
     demand: 0,
-    arrived: 0,
-    lost: 0,
+    arrivedCount: 0,
+    lostCount: 0,
     lostShare: 0,
-    leastBacklogMs: Infinity,
-    mostRunning: 0,
+    minBacklogMs: Infinity,
+    maxRunning: 0,
   };
 }
 
 /** Counts a request that arrived. */
 export function noteAsked(state: PressureState, serviceMs: number): void {
-  state.askedMs += serviceMs;
-  state.arrived += 1;
+  state.requestedMs += serviceMs;
+  state.arrivedCount += 1;
 }
 
 /**
@@ -114,7 +114,7 @@
  * of overload, and all that was done for it is wasted.
  */
 export function noteLost(state: PressureState): void {
-  state.lost += 1;
+  state.lostCount += 1;
 }
 
 /**
@@ -124,8 +124,8 @@
  * places were in use at a pressure of 0.85.
  */
 export function noteRejected(state: PressureState, serviceMs: number): void {
-  state.askedMs = Math.max(0, state.askedMs - serviceMs);
-  state.arrived = Math.max(0, state.arrived - 1);
+  state.requestedMs = Math.max(0, state.requestedMs - serviceMs);
+  state.arrivedCount = Math.max(0, state.arrivedCount - 1);
 }
 
 /** Notes the wait, and moves on where a window has ended. */
@@ -133,40 +133,41 @@
   state: PressureState,
   { limit, running, backlogMs, nowMs }: PressureInputs,
 ): void {
-  state.mostRunning = Math.max(state.mostRunning, running);
-  state.leastBacklogMs = Math.min(state.leastBacklogMs, backlogMs);
+  state.maxRunning = Math.max(state.maxRunning, running);
+  state.minBacklogMs = Math.min(state.minBacklogMs, backlogMs);
   const lengthMs = nowMs - state.windowStartMs;
   if (lengthMs < WINDOW_MS) {
     return;
   }
-  const demand = state.askedMs / (Math.max(1, limit) * lengthMs);
+  const demand = state.requestedMs / (Math.max(1, limit) * lengthMs);
   state.demand += (demand - state.demand) * DEMAND_GAIN;
   const byBacklog = Math.min(
-    MAX_BY_BACKLOG,
-    state.leastBacklogMs / 1_000 * PER_BACKLOG_S,
+    MAX_BACKLOG_PRESSURE,
+    state.minBacklogMs / 1_000 * PRESSURE_PER_BACKLOG_S,
   );
-  const lostShare = state.lost / Math.max(1, state.arrived);
+  const lostShare = state.lostCount / Math.max(1, state.arrivedCount);
   state.lostShare += (Math.min(1, lostShare) - state.lostShare) * DEMAND_GAIN;
-  const isIdle = byBacklog === 0 && state.mostRunning < limit * IDLE_SHARE;
+  const isIdle = byBacklog === 0 &&
+    state.maxRunning < limit * MAX_IDLE_UTILIZATION;
   const byLoss = isIdle
     ? 0
-    : Math.min(MAX_LOST_ERROR, state.lostShare * LOST_ERROR);
-  const error = limitTo(state.demand - TARGET, MIN_ERROR, MAX_ERROR) +
-    byBacklog * BACKLOG_ERROR + byLoss;
-  const change = error * INTEGRAL_PER_S * lengthMs / 1_000;
-  const kept = state.integral * (isIdle ? IDLE_KEPT : 1);
-  state.integral = limitTo(kept + change, 0, MAX_INTEGRAL);
+    : Math.min(MAX_LOSS_ERROR, state.lostShare * LOSS_ERROR_GAIN);
+  const error = clamp(state.demand - TARGET_DEMAND, MIN_ERROR, MAX_ERROR) +
+    byBacklog * BACKLOG_ERROR_GAIN + byLoss;
+  const change = error * INTEGRAL_GAIN_PER_S * lengthMs / 1_000;
+  const kept = state.integral * (isIdle ? IDLE_INTEGRAL_RATIO : 1);
+  state.integral = clamp(kept + change, 0, MAX_INTEGRAL);
   state.pressure = state.integral === 0
     ? 0
-    : limitTo(state.integral + error * PROPORTIONAL + byBacklog, 0, 1);
-  state.askedMs = 0;
-  state.arrived = 0;
-  state.lost = 0;
+    : clamp(state.integral + error * PROPORTIONAL_GAIN + byBacklog, 0, 1);
+  state.requestedMs = 0;
+  state.arrivedCount = 0;
+  state.lostCount = 0;
   state.windowStartMs = nowMs;
-  state.leastBacklogMs = Infinity;
-  state.mostRunning = running;
+  state.minBacklogMs = Infinity;
+  state.maxRunning = running;
 }
 
-function limitTo(value: number, least: number, most: number): number {
+function clamp(value: number, least: number, most: number): number {
   return Math.min(most, Math.max(least, value));
 }
--- a/src/engine/admission/common/retry_after.ts
+++ b/src/engine/admission/common/retry_after.ts
@@ -1,9 +1,9 @@
 /** When a refused caller should come back. */
 import { hashText } from "../../../base/common/hash.ts";
 
-const LEAST_MS = 1_000;
-const CALM_SPREAD_MS = 2_000;
-const LOADED_SPREAD_MS = 8_000;
+const MIN_DELAY_MS = 1_000;
+const MIN_SPREAD_MS = 2_000;
+const MAX_SPREAD_MS = 8_000;
 const HASH_RANGE = 2 ** 32;
 
 /**
@@ -17,6 +17,6 @@
 ): number {
   const part = hashText(id) / HASH_RANGE;
   const load = Math.min(1, Math.max(0, pressure));
-  const spreadMs = CALM_SPREAD_MS + load * (LOADED_SPREAD_MS - CALM_SPREAD_MS);
-  return Math.round(Math.max(LEAST_MS, waitMs) + part * spreadMs);
+  const spreadMs = MIN_SPREAD_MS + load * (MAX_SPREAD_MS - MIN_SPREAD_MS);
+  return Math.round(Math.max(MIN_DELAY_MS, waitMs) + part * spreadMs);
 }
--- a/src/engine/admission/common/service_time.ts
+++ b/src/engine/admission/common/service_time.ts
@@ -12,7 +12,7 @@
 }
 
 /** Nothing is known of a kind yet. */
-export const UNKNOWN_TIME: ServiceTime = {
+export const UNKNOWN_SERVICE_TIME: ServiceTime = {
   expectedMs: undefined,
   baselineLog: undefined,
   sampleSum: 0,
@@ -23,11 +23,11 @@
 /** Answers that make up one update of the baseline. */
 export const BASELINE_SAMPLES = 8;
 /** The baseline rises slowly, so that a slowdown isn't taken for normal. */
-const RISE_MS = 30_000;
-const FALL_MS = 5_000;
-const EXPECTED_RISE = 0.1;
+const BASELINE_RISE_MS = 30_000;
+const BASELINE_FALL_MS = 5_000;
+const EXPECTED_RISE_GAIN = 0.1;
 /** Falls faster: too high an estimate refuses what could be served. */
-const EXPECTED_FALL = 0.3;
+const EXPECTED_FALL_GAIN = 0.3;
 const MIN_LATENCY_MS = 1;
 /** Below this, a difference may be the delay of this process alone. */
 const MIN_BASELINE_MS = 5;
@@ -40,15 +40,15 @@
 }
 
 /** Takes in one answer: the latency is expected, its own part the baseline. */
-export function noteLatency(
+export function recordLatency(
   time: ServiceTime,
   answer: AnswerTime,
   nowMs: number,
 ): ServiceTime {
   const ms = Math.max(MIN_LATENCY_MS, answer.latencyMs);
   const old = time.expectedMs ?? ms;
-  const gain = ms > old ? EXPECTED_RISE : EXPECTED_FALL;
-  return moveBaseline({
+  const gain = ms > old ? EXPECTED_RISE_GAIN : EXPECTED_FALL_GAIN;
+  return updateBaseline({
     ...time,
     expectedMs: old + gain * (ms - old),
     sampleSum: time.sampleSum +
@@ -67,13 +67,13 @@
     : Math.max(MIN_BASELINE_MS, latencyMs) / Math.exp(time.baselineLog);
 }
 
-function moveBaseline(time: ServiceTime, nowMs: number): ServiceTime {
+function updateBaseline(time: ServiceTime, nowMs: number): ServiceTime {
   if (time.sampleCount < BASELINE_SAMPLES) {
     return time;
   }
   const mean = time.sampleSum / time.sampleCount;
   const old = time.baselineLog ?? mean;
-  const spanMs = mean > old ? RISE_MS : FALL_MS;
+  const spanMs = mean > old ? BASELINE_RISE_MS : BASELINE_FALL_MS;
   const gain = 1 - Math.exp((time.updatedAtMs - nowMs) / spanMs);
   return {
     ...time,
--- a/src/engine/admission/test/admission_level_test.ts
+++ b/src/engine/admission/test/admission_level_test.ts
@@ -10,9 +10,9 @@
   isBelowLevel,
 } from "../common/admission_level.ts";
 import {
-  INITIAL_LEVEL,
-  noteArrival,
-  noteOverload,
+  INITIAL_LEVEL_CONTROL,
+  recordArrival,
+  recordOverload,
   updateLevel,
 } from "../common/level_control.ts";
 import {
@@ -103,19 +103,19 @@
 });
 
 describe("level control", () => {
-  const arrived = [3, 3, 3, 9].reduce(noteArrival, INITIAL_LEVEL);
+  const arrived = [3, 3, 3, 9].reduce(recordArrival, INITIAL_LEVEL_CONTROL);
 
   it("takes a burst for no overload, only a queue that stands", () => {
-    const refused = noteOverload(arrived, 3);
+    const refused = recordOverload(arrived, 3);
     expect(updateLevel(refused, false).place).to.equal(0);
     expect(updateLevel(refused, true).place).to.be.within(3, 4);
   });
 
   it("cuts nothing above the importances that were refused", () => {
-    const shed = { ...INITIAL_LEVEL, place: 3.99 };
-    const passing = noteArrival(noteArrival(shed, 9), 9);
-    const low = updateLevel(noteOverload(passing, 3), true);
-    const high = updateLevel(noteOverload(passing, 9), true);
+    const shed = { ...INITIAL_LEVEL_CONTROL, place: 3.99 };
+    const passing = recordArrival(recordArrival(shed, 9), 9);
+    const low = updateLevel(recordOverload(passing, 3), true);
+    const high = updateLevel(recordOverload(passing, 9), true);
     expect(low.place).to.be.at.most(4);
     expect(high.place).to.be.greaterThan(9);
   });
--- a/src/engine/retry/common/resend_budget.ts
+++ b/src/engine/retry/common/resend_budget.ts
@@ -24,7 +24,7 @@
 
 /** What was seen in one stretch of time; split, so that a step copies little. */
 interface Generation {
-  readonly startedMs: number;
+  readonly startedAtMs: number;
   readonly ids: readonly ReadonlySet<string>[];
   readonly idCount: number;
   readonly callers: readonly ReadonlyMap<string, CallerCounts>[];
@@ -32,8 +32,8 @@
 
 /** Requests of the current generation and the one before. */
 export interface ResendBudgets {
-  readonly open: Generation;
-  readonly last: Generation;
+  readonly current: Generation;
+  readonly previous: Generation;
 }
 
 /** Shortest time that an id is remembered, but for `MAX_IDS`. */
@@ -43,16 +43,16 @@
 /** Resends as a share of the caller's distinct requests. */
 export const RESEND_SHARE = 0.1;
 /** Ids in a generation; beyond them the next one begins early. */
-export const MAX_IDS = 4_096;
-const BUCKETS = 128;
+export const MAX_GENERATION_IDS = 4_096;
+const BUCKET_COUNT = 128;
 const NO_COUNTS: CallerCounts = { firsts: 0, resends: 0 };
 const NO_IDS: ReadonlySet<string> = new Set();
 const NO_CALLERS: ReadonlyMap<string, CallerCounts> = new Map();
 
 /** Nothing was received yet. */
 export const EMPTY_RESENDS: ResendBudgets = {
-  open: createGeneration(0),
-  last: createGeneration(0),
+  current: createGeneration(0),
+  previous: createGeneration(0),
 };
 
 /**
@@ -69,55 +69,58 @@
 ): Reduction<ResendBudgets, RefuseResend> {
   const { caller } = request;
   const id = `${caller}\n${request.id}`;
-  const { open, last } = advanceGenerations(state, nowMs);
-  const isResend = hasId(open, id) || hasId(last, id);
-  const noted = addId(open, id);
+  const { current, previous } = advanceGenerations(state, nowMs);
+  const isResend = hasId(current, id) || hasId(previous, id);
+  const recorded = addId(current, id);
   if (!isResend) {
-    const next = countOne(noted, caller, { firsts: 1, resends: 0 });
-    return createReduction({ open: next, last });
+    const next = addCounts(recorded, caller, { firsts: 1, resends: 0 });
+    return createReduction({ current: next, previous });
   }
-  const now = findCounts(open, caller);
-  const before = findCounts(last, caller);
-  const resends = now.resends + before.resends + 1;
-  const firsts = now.firsts + before.firsts;
+  const currentCounts = getCounts(current, caller);
+  const previousCounts = getCounts(previous, caller);
+  const resends = currentCounts.resends + previousCounts.resends + 1;
+  const firsts = currentCounts.firsts + previousCounts.firsts;
   if (resends > RESEND_FLOOR + RESEND_SHARE * firsts) {
-    return createReduction({ open: noted, last }, [{ type: "RefuseResend" }]);
+    return createReduction(
+      { current: recorded, previous },
+      [{ type: "RefuseResend" }],
+    );
   }
-  const next = countOne(noted, caller, { firsts: 0, resends: 1 });
-  return createReduction({ open: next, last });
+  const next = addCounts(recorded, caller, { firsts: 0, resends: 1 });
+  return createReduction({ current: next, previous });
 }
 
 function createGeneration(startedMs: number): Generation {
   return {
-    startedMs,
-    ids: Array.from({ length: BUCKETS }, () => NO_IDS),
+    startedAtMs: startedMs,
+    ids: Array.from({ length: BUCKET_COUNT }, () => NO_IDS),
     idCount: 0,
-    callers: Array.from({ length: BUCKETS }, () => NO_CALLERS),
+    callers: Array.from({ length: BUCKET_COUNT }, () => NO_CALLERS),
   };
 }
 
 function advanceGenerations(
-  { open, last }: ResendBudgets,
+  { current, previous }: ResendBudgets,
   nowMs: number,
 ): ResendBudgets {
-  const ageMs = nowMs - open.startedMs;
-  if (ageMs < RESEND_WINDOW_MS && open.idCount < MAX_IDS) {
-    return { open, last };
+  const ageMs = nowMs - current.startedAtMs;
+  if (ageMs < RESEND_WINDOW_MS && current.idCount < MAX_GENERATION_IDS) {
+    return { current, previous };
   }
   const isStale = ageMs >= 2 * RESEND_WINDOW_MS;
   return {
-    open: createGeneration(nowMs),
-    last: isStale ? EMPTY_RESENDS.last : open,
+    current: createGeneration(nowMs),
+    previous: isStale ? EMPTY_RESENDS.previous : current,
   };
 }
 
 function hasId(generation: Generation, id: string): boolean {
-  return generation.ids[locate(id)]!.has(id);
+  return generation.ids[computeBucket(id)]!.has(id);
 }
 
 /** A resend is remembered anew, so that its id stays known while it comes. */
 function addId(generation: Generation, id: string): Generation {
-  const index = locate(id);
+  const index = computeBucket(id);
   const bucket = generation.ids[index]!;
   if (bucket.has(id)) {
     return generation;
@@ -126,17 +129,17 @@
   return { ...generation, ids, idCount: generation.idCount + 1 };
 }
 
-function findCounts(generation: Generation, caller: string): CallerCounts {
-  return generation.callers[locate(caller)]!.get(caller) ?? NO_COUNTS;
+function getCounts(generation: Generation, caller: string): CallerCounts {
+  return generation.callers[computeBucket(caller)]!.get(caller) ?? NO_COUNTS;
 }
 
-function countOne(
+function addCounts(
   generation: Generation,
   caller: string,
   more: CallerCounts,
 ): Generation {
-  const index = locate(caller);
-  const { firsts, resends } = findCounts(generation, caller);
+  const index = computeBucket(caller);
+  const { firsts, resends } = getCounts(generation, caller);
   const counts = {
     firsts: firsts + more.firsts,
     resends: resends + more.resends,
@@ -145,6 +148,6 @@
   return { ...generation, callers: generation.callers.with(index, bucket) };
 }
 
-function locate(text: string): number {
-  return hashText(text) % BUCKETS;
+function computeBucket(text: string): number {
+  return hashText(text) % BUCKET_COUNT;
 }
--- a/src/engine/retry/test/resend_budget_test.ts
+++ b/src/engine/retry/test/resend_budget_test.ts
@@ -3,7 +3,7 @@
 import fc from "fast-check";
 import {
   EMPTY_RESENDS,
-  MAX_IDS,
+  MAX_GENERATION_IDS,
   reduceResendBudget,
   RESEND_FLOOR,
   RESEND_SHARE,
@@ -25,7 +25,7 @@
   }
 
   get idCounts(): readonly number[] {
-    return [this.#state.open.idCount, this.#state.last.idCount];
+    return [this.#state.current.idCount, this.#state.previous.idCount];
   }
 }
 
@@ -104,9 +104,9 @@
 
   it("remembers a bounded number of ids, and refuses none for it", () => {
     const edge = new Edge();
-    for (let n = 0; n < 3 * MAX_IDS; n += 1) {
+    for (let n = 0; n < 3 * MAX_GENERATION_IDS; n += 1) {
       expect(edge.receive(`caller-${n % 100}`, `${n}`)).to.equal(true);
-      expect(Math.max(...edge.idCounts)).to.be.at.most(MAX_IDS);
+      expect(Math.max(...edge.idCounts)).to.be.at.most(MAX_GENERATION_IDS);
     }
   });
 });
