--- a/src/daemon/node_report.ts
+++ b/src/daemon/node_report.ts
@@ -48,7 +48,7 @@
   {
     name: "admission_level",
     description: "Admission level, 0 (none) to 10",
-    read: ({ admission }) => admission.level.place,
+    read: ({ admission }) => admission.level.position,
   },
 ];
 
--- a/src/daemon/relay_tree.ts
+++ b/src/daemon/relay_tree.ts
@@ -49,7 +49,7 @@
 
   /** A run begins (1) or ends (-1) at the own backend server. */
   noteRun(run: BackendRun, change: 1 | -1, nowMs: number): void {
-    this.#coincidences.noteRun(run.route, change, nowMs);
+    this.#coincidences.recordRun(run.route, change, nowMs);
     if (change === 1) {
       this.#repeated.noteBegun(run, nowMs);
     }
@@ -57,12 +57,12 @@
 
   /** A call came to the own gate that began on a VM of a service. */
   noteArrival(route: string, callerService: string, nowMs: number): void {
-    this.#arrivals.note(route, callerService, nowMs);
+    this.#arrivals.recordCall(route, callerService, nowMs);
   }
 
   /** The gate at an address says where the calls there came from. */
   hear(address: string, report: CallerReport, nowMs: number): void {
-    this.#spread.hear(address, report, nowMs);
+    this.#spread.receiveReport(address, report, nowMs);
   }
 
   /** Notes a call from this VM; tells whether a run of the server made it. */
@@ -70,7 +70,7 @@
     call: Callee,
     nowMs: number,
   ): { readonly isNested: boolean; readonly repeatShare: number } {
-    const isNested = this.#tree.observe(call, nowMs);
+    const isNested = this.#tree.recordCall(call, nowMs);
     if (!isNested) {
       return { isNested, repeatShare: 0 };
     }
--- a/src/engine/admission/common/admission_reducer.ts
+++ b/src/engine/admission/common/admission_reducer.ts
@@ -33,8 +33,8 @@
   updateLimit,
 } from "./concurrency_limit.ts";
 import {
+  getCurrentLevel,
   INITIAL_LEVEL_CONTROL,
-  readLevel,
   recordArrival,
   updateLevel,
 } from "./level_control.ts";
@@ -101,7 +101,7 @@
   nowMs: number,
 ): AdmissionStep {
   const { attemptId, row } = request;
-  const level = readLevel(state.level);
+  const level = getCurrentLevel(state.level);
   const isBelow = level !== undefined && isBelowLevel(request, level);
   const counted = isBelow
     ? state
--- a/src/engine/admission/common/call_tree.ts
+++ b/src/engine/admission/common/call_tree.ts
@@ -72,7 +72,7 @@
   }
 
   /** Notes a call, and tells whether the backend server made it. */
-  observe(call: Callee, nowMs: number): boolean {
+  recordCall(call: Callee, nowMs: number): boolean {
     const { coincidences } = this.#inputs;
     coincidences.recordCall(call.route, nowMs);
     this.#services.set(call.route, call.service);
--- a/src/engine/admission/common/caller_spread.ts
+++ b/src/engine/admission/common/caller_spread.ts
@@ -38,7 +38,7 @@
   readonly #routes = new Map<string, Map<string, DecayingCount>>();
 
   /** Counts a call that began on a VM of a service. */
-  note(route: string, callerService: string, nowMs: number): void {
+  recordCall(route: string, callerService: string, nowMs: number): void {
     const callers = this.#routes.get(route) ?? new Map<string, DecayingCount>();
     this.#routes.set(route, callers);
     const count = callers.get(callerService) ??
@@ -73,7 +73,7 @@
   readonly #reports = new Map<string, ReceivedReport>();
 
   /** Takes the report of the gate at an address. */
-  hear(address: string, report: SpreadReport, nowMs: number): void {
+  receiveReport(address: string, report: SpreadReport, nowMs: number): void {
     this.#reports.set(address, { report, receivedAtMs: nowMs });
   }
 
--- a/src/engine/admission/common/coincidence.ts
+++ b/src/engine/admission/common/coincidence.ts
@@ -58,7 +58,7 @@
   #startedAtMs = 0;
 
   /** A run of a route begins (1) or ends (-1) at the own backend server. */
-  noteRun(route: string, change: 1 | -1, nowMs: number): void {
+  recordRun(route: string, change: 1 | -1, nowMs: number): void {
     this.#advance(nowMs);
     const parent = this.#parents.get(route) ??
       { running: 0, changedAtMs: nowMs, runMs: 0, runs: 0 };
--- a/src/engine/admission/common/level_control.ts
+++ b/src/engine/admission/common/level_control.ts
@@ -13,7 +13,7 @@
 /** The level on a scale from 0 (none) to 10, and the present window. */
 export interface LevelControl {
   /** Importance in the whole part, share of the hashes in the rest. */
-  readonly place: number;
+  readonly position: number;
   /** Calm windows in a row. */
   readonly calmWindows: number;
   /** Arrivals of the window at or over the level, by importance. */
@@ -30,7 +30,7 @@
 
 /** No level, nothing counted. */
 export const INITIAL_LEVEL_CONTROL: LevelControl = {
-  place: 0,
+  position: 0,
   calmWindows: 0,
   arrivals: NO_ARRIVALS,
   refused: 0,
@@ -91,21 +91,23 @@
     );
     return {
       ...window,
-      place: raisePosition(control, cut * total),
+      position: raisePosition(control, cut * total),
       calmWindows: 0,
     };
   }
   const calm = control.calmWindows + 1;
   const place = Math.max(
     0,
-    control.place - INITIAL_DECREASE * 2 ** control.calmWindows,
+    control.position - INITIAL_DECREASE * 2 ** control.calmWindows,
   );
-  return { ...window, place, calmWindows: place === 0 ? 0 : calm };
+  return { ...window, position: place, calmWindows: place === 0 ? 0 : calm };
 }
 
 /** Reads the level; undefined where nothing is to be refused early. */
-export function readLevel(control: LevelControl): AdmissionLevel | undefined {
-  return createLevel(control.place);
+export function getCurrentLevel(
+  control: LevelControl,
+): AdmissionLevel | undefined {
+  return createLevel(control.position);
 }
 
 /**
@@ -114,10 +116,10 @@
  */
 function raisePosition(control: LevelControl, cut: number): number {
   const highest = Math.min(MAX_POSITION, control.maxRefusedImportance + 1);
-  if (control.place >= highest) {
-    return control.place;
+  if (control.position >= highest) {
+    return control.position;
   }
-  let place = control.place;
+  let place = control.position;
   let left = cut;
   for (let i = Math.floor(place); i <= MAX_IMPORTANCE; i += 1) {
     const count = control.arrivals[i]!;
--- a/src/engine/admission/common/level_view.ts
+++ b/src/engine/admission/common/level_view.ts
@@ -41,7 +41,7 @@
 const PROBE_INTERVAL = 50;
 
 /** Keeps the level of an answer; one without a level clears it. */
-export function noteLevel(
+export function recordLevel(
   view: LevelView,
   report: LevelReport,
   nowMs: number,
@@ -64,7 +64,7 @@
  * Reads the level of a service for one kind: the highest one that at least
  * half of its backend servers are at, so that a straggler alone sheds nothing.
  */
-export function readServiceLevel(
+export function computeServiceLevel(
   view: LevelView,
   service: ServiceKind,
   nowMs: number,
@@ -89,7 +89,7 @@
   if (view.size === 0 || hashText(request.id, 3) % PROBE_INTERVAL === 0) {
     return false;
   }
-  const level = readServiceLevel(view, request, nowMs);
+  const level = computeServiceLevel(view, request, nowMs);
   return level !== undefined && isBelowLevel(request, level);
 }
 
--- a/src/engine/admission/common/overload_pressure.ts
+++ b/src/engine/admission/common/overload_pressure.ts
@@ -103,7 +103,7 @@
 }
 
 /** Counts a request that arrived. */
-export function noteAsked(state: PressureState, serviceMs: number): void {
+export function recordRequest(state: PressureState, serviceMs: number): void {
   state.requestedMs += serviceMs;
   state.arrivedCount += 1;
 }
@@ -113,7 +113,7 @@
  * while it waited or ran. Where time limits are short, that is the first sign
  * of overload, and all that was done for it is wasted.
  */
-export function noteLost(state: PressureState): void {
+export function recordLostRequest(state: PressureState): void {
   state.lostCount += 1;
 }
 
@@ -123,7 +123,7 @@
  * that would have fitted were refused for work that nobody did: 4 to 8 of 22
  * places were in use at a pressure of 0.85.
  */
-export function noteRejected(state: PressureState, serviceMs: number): void {
+export function recordRejection(state: PressureState, serviceMs: number): void {
   state.requestedMs = Math.max(0, state.requestedMs - serviceMs);
   state.arrivedCount = Math.max(0, state.arrivedCount - 1);
 }
--- a/src/engine/admission/test/admission_level_test.ts
+++ b/src/engine/admission/test/admission_level_test.ts
@@ -20,7 +20,7 @@
   LEVEL_TTL_MS,
   type LevelView,
   MAX_LEVELS,
-  noteLevel,
+  recordLevel,
 } from "../common/level_view.ts";
 import { computeRetryAfter } from "../common/retry_after.ts";
 
@@ -30,7 +30,7 @@
 function createView(nodeIds: readonly string[]): LevelView {
   return nodeIds.reduce<LevelView>(
     (view, nodeId) =>
-      noteLevel(view, { nodeId, kind: "k", level: LEVEL }, NOW_MS),
+      recordLevel(view, { nodeId, kind: "k", level: LEVEL }, NOW_MS),
     new Map(),
   );
 }
@@ -90,7 +90,7 @@
     const later = NOW_MS + LEVEL_TTL_MS;
     expect(countRefused(view, 3, later)).to.equal(0);
     const report = { nodeId: "a", kind: "k", level: undefined };
-    expect(countRefused(noteLevel(view, report, NOW_MS), 3)).to.equal(0);
+    expect(countRefused(recordLevel(view, report, NOW_MS), 3)).to.equal(0);
   });
 
   it("keeps a bounded number of levels", () => {
@@ -107,8 +107,8 @@
 
   it("takes a burst for no overload, only a queue that stands", () => {
     const refused = recordOverload(arrived, 3);
-    expect(updateLevel(refused, false).place).to.equal(0);
-    expect(updateLevel(refused, true).place).to.be.within(3, 4);
+    expect(updateLevel(refused, false).position).to.equal(0);
+    expect(updateLevel(refused, true).position).to.be.within(3, 4);
   });
 
   it("cuts nothing above the importances that were refused", () => {
@@ -116,8 +116,8 @@
     const passing = recordArrival(recordArrival(shed, 9), 9);
     const low = updateLevel(recordOverload(passing, 3), true);
     const high = updateLevel(recordOverload(passing, 9), true);
-    expect(low.place).to.be.at.most(4);
-    expect(high.place).to.be.greaterThan(9);
+    expect(low.position).to.be.at.most(4);
+    expect(high.position).to.be.greaterThan(9);
   });
 });
 
--- a/src/engine/admission/test/admission_reducer_test.ts
+++ b/src/engine/admission/test/admission_reducer_test.ts
@@ -74,7 +74,7 @@
     expect(sent).to.be.within(600, 650);
     expect(server.refused.size / sent).to.be.lessThan(0.05);
     // The queue was never long, so no entry node need refuse anything.
-    expect(server.state.level.place).to.equal(0);
+    expect(server.state.level.position).to.equal(0);
     expect([...server.refused.values()]).not.to.include("level");
   });
 
@@ -337,11 +337,11 @@
     server.serviceMs = () => 20;
     const draw = (n: number) => createRequest(`lookup-${n}`, LOOKUP);
     server.pass(2_000, createLoad(server, 2, draw));
-    expect(server.state.level.place).to.be.within(3.2, 4);
+    expect(server.state.level.position).to.be.within(3.2, 4);
     expect([...server.refused.values()]).to.include("level");
     const after = (n: number) => createRequest(`after-${n}`, LOOKUP);
     server.pass(1_500, createLoad(server, 0.3, after));
-    expect(server.state.level.place).to.equal(0);
+    expect(server.state.level.position).to.equal(0);
   });
 
   it("gives every request exactly one decision and keeps nothing", () => {
--- a/src/engine/admission/test/call_tree_test.ts
+++ b/src/engine/admission/test/call_tree_test.ts
@@ -84,17 +84,19 @@
         reportedAtMs = nowMs;
         const reports = nodes.map(({ gate }) => gate.createReport(nowMs));
         nodes.forEach(({ spread }) =>
-          reports.forEach((report, i) => spread.hear(`${i}`, report, nowMs))
+          reports.forEach((report, i) =>
+            spread.receiveReport(`${i}`, report, nowMs)
+          )
         );
       }
       const node = nodes[event.node]!;
       if (event.type === "Run") {
-        node.coincidences.noteRun(event.route, event.change, nowMs);
+        node.coincidences.recordRun(event.route, event.change, nowMs);
         return;
       }
       const { route, service, target, parent } = event;
-      const isNested = node.tree.observe({ route, service }, nowMs);
-      nodes[target]!.gate.note(route, services[event.node]!, nowMs);
+      const isNested = node.tree.recordCall({ route, service }, nowMs);
+      nodes[target]!.gate.recordCall(route, services[event.node]!, nowMs);
       if (nowMs > options.untilMs - 1_000) {
         tally.right += Number(isNested && parent !== undefined);
         tally.wrong += Number(isNested && parent === undefined);
--- a/src/engine/admission/test/overload_pressure_test.ts
+++ b/src/engine/admission/test/overload_pressure_test.ts
@@ -2,9 +2,9 @@
 import { expect } from "chai";
 import {
   createPressure,
-  noteAsked,
-  noteLost,
-  noteRejected,
+  recordLostRequest,
+  recordRejection,
+  recordRequest,
   updatePressure,
 } from "../common/overload_pressure.ts";
 
@@ -32,7 +32,7 @@
     const told = pressures[pressures.length - DELAY_MS / TICK_MS] ?? 0;
     const refused = Math.min(1, told / 0.7) * 0.85 * 2 / 3;
     const share = computeDemand(nowMs) * (1 - refused);
-    noteAsked(state, share * LIMIT * TICK_MS);
+    recordRequest(state, share * LIMIT * TICK_MS);
     queuedMs = Math.max(0, queuedMs + (share - 1) * TICK_MS);
     const running = queuedMs > 0 ? LIMIT : share * LIMIT;
     updatePressure(state, {
@@ -93,11 +93,11 @@
     const state = createPressure(0);
     for (let nowMs = 100; nowMs <= 2_000; nowMs += 100) {
       for (let n = 0; n < 10; n += 1) {
-        noteAsked(state, 0.9 * LIMIT * 10);
+        recordRequest(state, 0.9 * LIMIT * 10);
       }
-      noteLost(state);
-      noteLost(state);
-      noteLost(state);
+      recordLostRequest(state);
+      recordLostRequest(state);
+      recordLostRequest(state);
       const running = 0.9 * LIMIT;
       updatePressure(state, { limit: LIMIT, running, backlogMs: 0, nowMs });
     }
@@ -109,9 +109,9 @@
       const state = createPressure(0);
       for (let nowMs = 100; nowMs <= 3_000; nowMs += 100) {
         for (let n = 0; n < 120; n += 1) {
-          noteAsked(state, LIMIT);
+          recordRequest(state, LIMIT);
           if (n < 120 * share) {
-            noteRejected(state, LIMIT);
+            recordRejection(state, LIMIT);
           }
         }
         const running = Math.min(1, 1.2 * (1 - share)) * LIMIT;
--- a/src/engine/call/common/call_level.ts
+++ b/src/engine/call/common/call_level.ts
@@ -2,11 +2,11 @@
 import { setEntry } from "../../../base/common/maps.ts";
 import { pickHigherLevel } from "../../admission/common/admission_level.ts";
 import type { AdmissionLevel } from "../../admission/common/admission_level.ts";
-import { readLevel } from "../../admission/common/level_control.ts";
+import { getCurrentLevel } from "../../admission/common/level_control.ts";
 import {
+  computeServiceLevel,
   isRefusedEarly,
-  noteLevel,
-  readServiceLevel,
+  recordLevel,
 } from "../../admission/common/level_view.ts";
 import type { EntryCall, NodeState } from "./node_state.ts";
 
@@ -44,7 +44,7 @@
   kind: string,
   nowMs: number,
 ): AdmissionLevel | undefined {
-  const own = readLevel(state.admission.level);
+  const own = getCurrentLevel(state.admission.level);
   const called = state.callees.get(kind);
   if (state.levels.size === 0 || called === undefined) {
     return own;
@@ -54,7 +54,7 @@
     const row = state.table.rows.find((r) => r.kind === callee);
     if (row !== undefined && expiresAtMs > nowMs) {
       const members = listMembers(state, row.service);
-      const below = readServiceLevel(
+      const below = computeServiceLevel(
         state.levels,
         { kind: callee, members },
         nowMs,
@@ -79,7 +79,7 @@
   const { kind, service } = row;
   const { nodeId } = state.self;
   const levels = service === state.self.service
-    ? noteLevel(
+    ? recordLevel(
       state.levels,
       { nodeId, kind, level: quoteLevel(state, kind, nowMs) },
       nowMs,
--- a/src/engine/call/common/entry_attempts.ts
+++ b/src/engine/call/common/entry_attempts.ts
@@ -5,7 +5,7 @@
   chainReduction,
   createReduction,
 } from "../../../base/common/reduction.ts";
-import { noteLevel } from "../../admission/common/level_view.ts";
+import { recordLevel } from "../../admission/common/level_view.ts";
 import { computeRetryAfter } from "../../admission/common/retry_after.ts";
 import { takeShare } from "../../retry/common/retry_tokens.ts";
 import type { BackendView } from "../../routing/common/backend_view.ts";
@@ -91,7 +91,7 @@
   const result = isRefused ? "refused" : "answered";
   const { nodeId } = call.attempt!;
   const { kind } = call.row;
-  const levels = noteLevel(
+  const levels = recordLevel(
     state.levels,
     { nodeId, kind, level: answer.level },
     nowMs,
--- a/src/engine/call/common/node_state.ts
+++ b/src/engine/call/common/node_state.ts
@@ -7,7 +7,7 @@
 import type { NodeClaims } from "../../claims/common/node_claims.ts";
 import type { Subscriptions } from "../../link/common/subscriptions.ts";
 import type { Announcement } from "../../membership/common/announcement.ts";
-import { EMPTY_RESENDS } from "../../retry/common/resend_budget.ts";
+import { EMPTY_RESEND_BUDGETS } from "../../retry/common/resend_budget.ts";
 import type { ResendBudgets } from "../../retry/common/resend_budget.ts";
 import type { Fingerprint } from "../../quarantine/common/quarantine_reducer.ts";
 import { INITIAL_NODE_QUARANTINE } from "../../quarantine/common/node_quarantine.ts";
@@ -163,7 +163,7 @@
     childrenOf: new Map(),
     settled: NO_SETTLED,
     retryBudget: EMPTY_BUDGET,
-    resends: EMPTY_RESENDS,
+    resends: EMPTY_RESEND_BUDGETS,
     routing: createRouting({
       nodeId: self.nodeId,
       dataCentre: self.dataCentre,
--- a/src/engine/relay/common/gate.ts
+++ b/src/engine/relay/common/gate.ts
@@ -7,9 +7,9 @@
 import type { LoadFigures } from "../../mesh/common/frames.ts";
 import {
   createPressure,
-  noteAsked,
-  noteLost,
-  noteRejected,
+  recordLostRequest,
+  recordRejection,
+  recordRequest,
   updatePressure,
 } from "../../admission/common/overload_pressure.ts";
 import { findVictim, putCall } from "./gate_queue.ts";
@@ -132,7 +132,7 @@
       noteEnd(state, event, nowMs);
       return runQueued(state, nowMs);
     case "CallWithdrawn": {
-      noteLost(state.pressure);
+      recordLostRequest(state.pressure);
       const at = state.queue.findIndex(({ id }) => id === event.id);
       if (at >= 0) {
         state.queue.splice(at, 1);
@@ -190,7 +190,7 @@
   nowMs: number,
 ): readonly GateEffect[] {
   const { backend, queue } = state;
-  noteAsked(state.pressure, getServiceMs(state, call.route));
+  recordRequest(state.pressure, getServiceMs(state, call.route));
   if (backend === undefined) {
     return [refuseCall(state, call.id, "no_backend")];
   }
@@ -248,10 +248,10 @@
   state.running = Math.max(0, state.running - 1);
   const { serviceMs, route, isLost, isRejected } = event;
   if (isLost) {
-    noteLost(state.pressure);
+    recordLostRequest(state.pressure);
   }
   if (isRejected) {
-    noteRejected(state.pressure, getServiceMs(state, route));
+    recordRejection(state.pressure, getServiceMs(state, route));
   }
   if (serviceMs === undefined) {
     return;
@@ -316,7 +316,7 @@
   reason: GateRefusal,
 ): GateEffect {
   if (reason === "deadline") {
-    noteLost(state.pressure);
+    recordLostRequest(state.pressure);
   }
   const retryAfterMs = computeRetryAfterMs(state);
   return { type: "RefuseCall", id, reason, retryAfterMs };
--- a/src/engine/relay/common/routes_in_force.ts
+++ b/src/engine/relay/common/routes_in_force.ts
@@ -48,7 +48,7 @@
   replace(table: RouteTable): void {
     this.#table = table;
     this.#index = buildRouteIndex(table);
-    this.#chooser.trim(table);
+    this.#chooser.prune(table);
     this.#routeRanks = countRanks(table.routes.map(({ rank }) => rank));
   }
 
--- a/src/engine/retry/common/resend_budget.ts
+++ b/src/engine/retry/common/resend_budget.ts
@@ -50,7 +50,7 @@
 const NO_CALLERS: ReadonlyMap<string, CallerCounts> = new Map();
 
 /** Nothing was received yet. */
-export const EMPTY_RESENDS: ResendBudgets = {
+export const EMPTY_RESEND_BUDGETS: ResendBudgets = {
   current: createGeneration(0),
   previous: createGeneration(0),
 };
@@ -110,7 +110,7 @@
   const isStale = ageMs >= 2 * RESEND_WINDOW_MS;
   return {
     current: createGeneration(nowMs),
-    previous: isStale ? EMPTY_RESENDS.previous : current,
+    previous: isStale ? EMPTY_RESEND_BUDGETS.previous : current,
   };
 }
 
--- a/src/engine/retry/test/resend_budget_test.ts
+++ b/src/engine/retry/test/resend_budget_test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import fc from "fast-check";
 import {
-  EMPTY_RESENDS,
+  EMPTY_RESEND_BUDGETS,
   MAX_GENERATION_IDS,
   reduceResendBudget,
   RESEND_FLOOR,
@@ -14,7 +14,7 @@
 
 class Edge {
   nowMs = START_MS;
-  #state = EMPTY_RESENDS;
+  #state = EMPTY_RESEND_BUDGETS;
 
   /** Whether the request passes. */
   receive(caller: string, id: string): boolean {
--- a/src/engine/routes/common/route_match.ts
+++ b/src/engine/routes/common/route_match.ts
@@ -58,7 +58,7 @@
   }
 
   /** Forgets the routes that are no longer in force. */
-  trim(table: RouteTable): void {
+  prune(table: RouteTable): void {
     const names = new Set(table.routes.map(({ name }) => name));
     for (const name of this.#credits.keys()) {
       if (!names.has(name)) {
