--- a/src/engine/admission/common/admission_capacity.ts
+++ b/src/engine/admission/common/admission_capacity.ts
@@ -1,4 +1,4 @@
-/** Room for one more request, and what is known of a kind. */
+/** Free capacity of a backend server, and the state of each kind of request. */
 import { setEntry } from "../../../base/common/maps.ts";
 import type {
   AdmissionRequest,
@@ -9,11 +9,11 @@
 import { computeRampSlots } from "./ramp.ts";
 import { UNKNOWN_SERVICE_TIME } from "./service_time.ts";
 
-/** Fewest requests that may wait, however low the limit. */
+/** Minimum queue limit in requests, however low the concurrency limit. */
 const MIN_QUEUE_SIZE = 4;
 /**
- * Requests that may wait for each one that may run. One for one is too short
- * for arrivals at random: at a load of just the capacity it refuses a fifth.
+ * Requests that may be queued for each one that may run. At a ratio of 1, a
+ * load equal to the capacity has a fifth of its random arrivals refused.
  */
 const QUEUED_PER_RUNNING = 4;
 
@@ -24,15 +24,18 @@
   time: UNKNOWN_SERVICE_TIME,
 };
 
-/** Computes how many requests may run now: slots, ramp and latency. */
+/**
+ * Computes how many requests may run at a time: the lower of the concurrency
+ * limit and the slots released by the ramp, but at least `MIN_LIMIT`.
+ */
 export function computeCapacity(state: AdmissionState, nowMs: number): number {
   const { slots, limit, ramp } = state;
-  const floor = Math.min(MIN_LIMIT, slots);
+  const minimum = Math.min(MIN_LIMIT, slots);
   const capacity = Math.min(limit.value, computeRampSlots(ramp, slots, nowMs));
-  return Math.floor(Math.max(floor, capacity));
+  return Math.floor(Math.max(minimum, capacity));
 }
 
-/** Computes how many may wait: a few service times' worth. */
+/** Computes the queue limit in requests, in proportion to the capacity. */
 export function computeMaxQueueSize(
   state: AdmissionState,
   nowMs: number,
@@ -43,7 +46,10 @@
   );
 }
 
-/** Whether one more request of its kind may run. */
+/**
+ * Whether the request may run now, within the capacity of the backend server
+ * and the concurrency limit of its row.
+ */
 export function hasFreeCapacity(
   state: AdmissionState,
   request: AdmissionRequest,
@@ -55,27 +61,28 @@
 }
 
 /**
- * Whether the time that is left doesn't cover the expected service time. One
- * of a kind always runs, so that a wrong estimate is corrected.
+ * Whether the time to the deadline is less than the expected service time.
+ * While no request of the kind runs, only a passed deadline counts: one run at
+ * a time is let through so that a wrong estimate gets corrected.
  */
 export function hasInsufficientTime(
   state: AdmissionState,
   request: AdmissionRequest,
   nowMs: number,
 ): boolean {
-  const leftMs = request.deadlineMs - nowMs;
+  const remainingMs = request.deadlineMs - nowMs;
   const { kind } = request.row;
   const { expectedMs } = getKindState(state, kind).time;
-  return leftMs <= 0 ||
-    (leftMs < (expectedMs ?? 0) && countRunning(state, kind) > 0);
+  return remainingMs <= 0 ||
+    (remainingMs < (expectedMs ?? 0) && countRunning(state, kind) > 0);
 }
 
-/** Finds what is known of a kind. */
+/** Returns the state of a kind, or the initial state if it has none. */
 export function getKindState(state: AdmissionState, kind: string): KindState {
   return state.kinds.get(kind) ?? INITIAL_KIND_STATE;
 }
 
-/** Updates what is known of a kind. */
+/** Replaces the given fields in the state of a kind. */
 export function updateKindState(
   state: AdmissionState,
   kind: string,
--- a/src/engine/admission/common/admission_level.ts
+++ b/src/engine/admission/common/admission_level.ts
@@ -1,49 +1,56 @@
-/** The admission level: below it, root requests are refused early. */
+/**
+ * The admission level of an overloaded backend server: entry nodes refuse root
+ * requests of lower priority before any work is done for them.
+ */
 import { parseDictionary, serializeDictionary } from "structured-headers";
 import { hashText } from "../../../base/common/hash.ts";
 
-/** A root request below `(importance, hash)` is refused; hash 32-bit. */
+/** Root requests with a priority below `(importance, hash)` are refused. */
 export interface AdmissionLevel {
+  /** 0 to `MAX_IMPORTANCE`. */
   readonly importance: number;
+  /** Unsigned 32-bit. */
   readonly hash: number;
 }
 
-/** What places a request above or below a level. */
+/** Priority of a request, compared with the admission level. */
 export interface AdmissionPriority {
-  /** 0 to 9. */
+  /** 0 to `MAX_IMPORTANCE`; higher is more important. */
   readonly importance: number;
+  /** Unsigned 32-bit; orders requests of one importance, higher first. */
   readonly admissionHash: number;
 }
 
-/** Importances run from 0 to this. */
+/** Highest importance; the lowest one is 0. */
 export const MAX_IMPORTANCE = 9;
-/** The hashes of root requests are drawn anew at this period. */
+/** Period after which the admission hashes of root requests change. */
 export const HASH_PERIOD_MS = 10_000;
 const HASH_RANGE = 2 ** 32;
 const MAX_HEADER_LENGTH = 64;
 
-/** What the hash of a root request is drawn from. */
+/** Inputs of the admission hash of a root request. */
 export interface HashInputs {
-  /** Names the caller, or else the root request. */
+  /** Id of the caller, or of the root request if the caller has none. */
   readonly key: string;
-  /** Weight of its kind over the greatest of its importance; at most 1. */
+  /** Weight of the kind over the highest weight of its importance; at most 1. */
   readonly share: number;
+  /** Wall clock in milliseconds. */
   readonly nowMs: number;
 }
 
 /**
- * Computes the hash that orders root requests of one importance. The period
- * salts it, so that no caller is shed for ever. The kinds that go on at one
- * level are so in the ratio of their weights: `u ** (1 / weight)` of weighted
- * sampling (Efraimidis and Spirakis, 2006).
+ * Computes the hash that orders root requests of one importance. It is salted
+ * with the current period, so that no caller is shed permanently. The kinds
+ * admitted at a level are in the ratio of their weights, by the keys
+ * `u ** (1 / weight)` of weighted sampling (Efraimidis and Spirakis, 2006).
  */
 export function computeAdmissionHash(inputs: HashInputs): number {
   const { key, share, nowMs } = inputs;
-  const drawn = hashText(key, Math.floor(nowMs / HASH_PERIOD_MS) >>> 0);
-  return Math.floor((drawn / HASH_RANGE) ** (1 / share) * HASH_RANGE);
+  const uniform = hashText(key, Math.floor(nowMs / HASH_PERIOD_MS) >>> 0);
+  return Math.floor((uniform / HASH_RANGE) ** (1 / share) * HASH_RANGE);
 }
 
-/** Whether a request is below the level. */
+/** Whether the priority of a request is below the level. */
 export function isBelowLevel(
   request: AdmissionPriority,
   level: AdmissionLevel,
@@ -53,7 +60,7 @@
       request.admissionHash < level.hash);
 }
 
-/** Picks the level that refuses more; undefined refuses nothing. */
+/** Picks the level that refuses more requests; undefined refuses none. */
 export function pickHigherLevel(
   a: AdmissionLevel | undefined,
   b: AdmissionLevel | undefined,
@@ -65,22 +72,25 @@
   return order >= 0 ? a : b;
 }
 
-/** Creates a level from its place on the scale from 0 to 10. */
-export function createLevel(place: number): AdmissionLevel | undefined {
-  if (place <= 0) {
+/**
+ * Creates the level at a position from 0 (none, undefined) to 10: importance
+ * in the integer part, share of the hash range in the fraction.
+ */
+export function createLevel(position: number): AdmissionLevel | undefined {
+  if (position <= 0) {
     return undefined;
   }
-  const importance = Math.min(MAX_IMPORTANCE, Math.floor(place));
-  const hash = Math.floor((place - importance) * HASH_RANGE);
+  const importance = Math.min(MAX_IMPORTANCE, Math.floor(position));
+  const hash = Math.floor((position - importance) * HASH_RANGE);
   return { importance, hash: Math.min(HASH_RANGE - 1, hash) };
 }
 
-/** Writes a level as an RFC 9651 dictionary. */
+/** Encodes a level as an RFC 9651 dictionary. */
 export function encodeLevel(level: AdmissionLevel): string {
   return serializeDictionary({ i: level.importance, h: level.hash });
 }
 
-/** Reads a level; undefined where there is none or it is malformed. */
+/** Decodes a level; returns undefined if the text is empty or malformed. */
 export function decodeLevel(text: string): AdmissionLevel | undefined {
   if (text === "" || text.length > MAX_HEADER_LENGTH) {
     return undefined;
--- a/src/engine/admission/common/admission_queue.ts
+++ b/src/engine/admission/common/admission_queue.ts
@@ -1,4 +1,4 @@
-/** Steps on the queue: run what has room, give up what must go. */
+/** Steps on the queue: starts requests with free capacity, refuses others. */
 import { setEntry } from "../../../base/common/maps.ts";
 import {
   chainReduction,
@@ -24,24 +24,33 @@
 import { recordOverload } from "./level_control.ts";
 import { computeRetryAfter } from "./retry_after.ts";
 
-/** A step of the admission. */
+/** A step of the admission control. */
 export type AdmissionStep = Reduction<AdmissionState, AdmissionEffect>;
 
-/** A queue that stays busy for so long is overloaded, as in CoDel (RFC 8289). */
+/**
+ * A queue that is not empty for this long is overloaded: the interval of CoDel
+ * (RFC 8289).
+ */
 export const BUSY_INTERVAL_MS = 100;
-/** Longest wait in an overloaded queue, where a service time isn't longer. */
+/**
+ * Wait limit in an overloaded queue, unless the expected service time or the
+ * part of the timeout gives a longer one.
+ */
 const TARGET_WAIT_MS = 50;
-/** Part of a row's timeout that may go into the wait. */
+/** A request may wait for the timeout of its row divided by this. */
 const WAIT_DIVISOR = 8;
-/** The same for work already invested, and where no service time is known. */
+/** Divisor for downstream calls, and if the service time is unknown. */
 const LONG_WAIT_DIVISOR = 4;
 
-/** Runs queued requests while there is room, in the order of the queue. */
+/**
+ * Starts queued requests by priority while there is free capacity; refuses
+ * those that can no longer meet their deadlines.
+ */
 export function runQueued(
   state: AdmissionState,
   nowMs: number,
 ): AdmissionStep {
-  // Under overload nearly every arrival ends here: it has to be cheap.
+  // Under overload nearly every arrival returns here, so this must be cheap.
   if (
     state.queue.length === 0 ||
     state.running.size >= computeCapacity(state, nowMs)
@@ -62,18 +71,21 @@
   return chainReduction(step, (s) => runQueued(s, nowMs));
 }
 
-/** Gives up what is over the row's queue of `kind`, or over the whole queue. */
+/**
+ * Refuses one queued request if the arrived one made its row exceed the queue
+ * limit of the row, or the queue exceed that of the backend server.
+ */
 export function trimQueue(
   state: AdmissionState,
   arrived: AdmissionRequest,
   nowMs: number,
 ): AdmissionStep {
-  const { kind, queue: most } = arrived.row;
+  const { kind, queue: maxQueued } = arrived.row;
   const sameKind = state.queue.filter((request) => request.row.kind === kind);
-  const isOver = state.queue.length > computeMaxQueueSize(state, nowMs);
-  const victim = sameKind.length > most
+  const isOverLimit = state.queue.length > computeMaxQueueSize(state, nowMs);
+  const victim = sameKind.length > maxQueued
     ? selectVictim(sameKind)
-    : isOver
+    : isOverLimit
     ? selectVictim(state.queue)
     : undefined;
   if (victim === undefined) {
@@ -84,7 +96,7 @@
   return refuseQueued(state, victim, reason, nowMs);
 }
 
-/** Gives up queued requests whose time no longer suffices. */
+/** Refuses queued requests that can no longer meet their deadlines. */
 export function expireQueued(
   state: AdmissionState,
   nowMs: number,
@@ -98,30 +110,36 @@
 }
 
 /**
- * Keeps the wait short in a queue that doesn't empty: the least important go,
- * once they have waited for longer than a service time and an eighth of the
- * timeout: a quarter of it for calls of other services, whose work would be
- * lost with them, and where no service time is known.
+ * Keeps the wait short in a queue that does not empty. Refuses the requests of
+ * the lowest importance that have waited for longer than their service time
+ * and an eighth of the timeout. The limit is a quarter of the timeout for
+ * downstream calls, as refusing them wastes the work already done for their
+ * root requests, and for kinds without a known service time.
  */
 export function shedLateRequests(
   state: AdmissionState,
   nowMs: number,
 ): AdmissionStep {
   const { queue, busySinceMs, running } = state;
-  // Where only a row is full, its own queue and the deadline bound the wait.
+  // If only a row is at its limit, its queue limit and the deadlines bound
+  // the wait.
   const isFull = running.size >= computeCapacity(state, nowMs);
   if (!isFull || nowMs - (busySinceMs ?? nowMs) < BUSY_INTERVAL_MS) {
     return createReduction(state);
   }
   const lowest = Math.min(...queue.map((request) => request.importance));
-  const late = queue.filter((request) =>
+  const overdue = queue.filter((request) =>
     request.importance === lowest &&
     nowMs - request.queuedAtMs > computeMaxWait(state, request)
   );
-  return refuseAll(state, late, "queue_wait", nowMs);
+  return refuseAll(state, overdue, "queue_wait", nowMs);
 }
 
-/** Refuses a request that is in no queue. */
+/**
+ * Refuses a request that is not in the queue.
+ *
+ * @param waitMs Minimum delay before a retry, in milliseconds.
+ */
 export function refuseRequest(
   state: AdmissionState,
   attemptId: string,
@@ -182,7 +200,7 @@
   const { attemptId } = request;
   const isOverload = reason === "queue_wait"
     ? isBacklogTooLong(state, request, nowMs)
-    // Only a full backend server is overloaded, not a row at its own limit.
+    // A row at its own limit does not mean that the backend server is.
     : state.running.size >= computeCapacity(state, nowMs);
   const level = isOverload
     ? recordOverload(state.level, request.importance)
@@ -192,8 +210,9 @@
 }
 
 /**
- * Whether the whole queue takes longer than one may wait. In a shorter one, a
- * request waits as long only because of those that go before it.
+ * Whether the time to run the whole queue exceeds the wait limit of a request.
+ * In a shorter queue, the request waits that long only because requests of
+ * higher priority overtake it, which is not overload.
  */
 function isBacklogTooLong(
   state: AdmissionState,
@@ -201,9 +220,9 @@
   nowMs: number,
 ): boolean {
   const { expectedMs } = getKindState(state, request.row.kind).time;
-  const turns = state.queue.length / computeCapacity(state, nowMs);
+  const rounds = state.queue.length / computeCapacity(state, nowMs);
   return expectedMs === undefined ||
-    turns * expectedMs > computeMaxWait(state, request);
+    rounds * expectedMs > computeMaxWait(state, request);
 }
 
 function computeMaxWait(
@@ -212,9 +231,9 @@
 ): number {
   const { kind, timeoutMs } = request.row;
   const { expectedMs } = getKindState(state, kind).time;
-  const isShort = expectedMs !== undefined && request.depth === 0;
-  const part = isShort ? WAIT_DIVISOR : LONG_WAIT_DIVISOR;
-  return Math.max(TARGET_WAIT_MS, expectedMs ?? 0, timeoutMs / part);
+  const hasShortLimit = expectedMs !== undefined && request.depth === 0;
+  const divisor = hasShortLimit ? WAIT_DIVISOR : LONG_WAIT_DIVISOR;
+  return Math.max(TARGET_WAIT_MS, expectedMs ?? 0, timeoutMs / divisor);
 }
 
 function removeQueued(
--- a/src/engine/admission/common/admission_reducer.ts
+++ b/src/engine/admission/common/admission_reducer.ts
@@ -1,4 +1,4 @@
-/** Decides at the backend server's node which requests run, wait or go. */
+/** Decides which requests a backend server runs, queues or refuses. */
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 import {
   chainReduction,
@@ -42,10 +42,10 @@
 import { checkRate } from "./rate_limit.ts";
 import { computeSlowdown, recordLatency } from "./service_time.ts";
 
-/** A kind that no request uses for so long is forgotten. */
+/** The state of a kind that was not used for this long is evicted. */
 const KIND_TTL_MS = 600_000;
 
-/** Creates the admission of a backend server that runs `slots` at a time. */
+/** Creates the state for a backend server that announced `slots`. */
 export function createAdmission(slots: number): AdmissionState {
   return {
     slots,
@@ -60,7 +60,7 @@
   };
 }
 
-/** Steps the admission. */
+/** Applies an event at `nowMs`, wall clock in milliseconds. */
 export function reduceAdmission(
   state: AdmissionState,
   event: AdmissionEvent,
@@ -69,8 +69,8 @@
   const ramp = startRamp(state.ramp, nowMs);
   const step = applyEvent({ ...state, ramp }, event, nowMs);
   const { queue, busySinceMs } = step.state;
-  const since = queue.length === 0 ? undefined : busySinceMs ?? nowMs;
-  return { ...step, state: { ...step.state, busySinceMs: since } };
+  const nextBusySinceMs = queue.length === 0 ? undefined : busySinceMs ?? nowMs;
+  return { ...step, state: { ...step.state, busySinceMs: nextBusySinceMs } };
 }
 
 function applyEvent(
@@ -88,7 +88,9 @@
     case "RequestWithdrawn":
       return createReduction({
         ...state,
-        queue: state.queue.filter((q) => q.attemptId !== event.attemptId),
+        queue: state.queue.filter((queued) =>
+          queued.attemptId !== event.attemptId
+        ),
       });
     case "Ticked":
       return applyTick(state, nowMs);
@@ -109,7 +111,8 @@
   if (hasInsufficientTime(counted, request, nowMs)) {
     return refuseRequest(counted, attemptId, "deadline");
   }
-  // Work already invested isn't thrown away while the queue has a place.
+  // Downstream calls may still be queued: refusing them would waste the work
+  // already done for their root requests.
   if (
     isBelow && request.depth === 0 && !hasFreeCapacity(counted, request, nowMs)
   ) {
@@ -131,10 +134,10 @@
 
 function recordAnswer(
   state: AdmissionState,
-  answered: { readonly attemptId: string; readonly downstreamMs?: number },
+  event: { readonly attemptId: string; readonly downstreamMs?: number },
   nowMs: number,
 ): AdmissionState {
-  const { attemptId, downstreamMs = 0 } = answered;
+  const { attemptId, downstreamMs = 0 } = event;
   const run = state.running.get(attemptId);
   if (run === undefined || run.isAnswered) {
     return state;
@@ -144,13 +147,14 @@
     isAnswered: true,
   });
   const latencyMs = nowMs - run.startedAtMs;
-  // What it waited for others says nothing of this backend server's load.
+  // The wait for downstream calls says nothing about the load of this
+  // backend server.
   const ownMs = latencyMs - downstreamMs;
   const { time } = getKindState(state, run.kind);
-  const next = recordRunSlowdown(state, run, ownMs);
+  const limited = recordRunSlowdown(state, run, ownMs);
   return updateKindState(
     {
-      ...next,
+      ...limited,
       running,
       ramp: recordRunResult(state.ramp, true, nowMs),
     },
@@ -161,29 +165,32 @@
 
 function finishRequest(
   state: AdmissionState,
-  finished: Extract<AdmissionEvent, { type: "RequestFinished" }>,
+  event: Extract<AdmissionEvent, { type: "RequestFinished" }>,
   nowMs: number,
 ): AdmissionStep {
-  const { attemptId } = finished;
+  const { attemptId } = event;
   const run = state.running.get(attemptId);
   if (run === undefined) {
     return createReduction(state);
   }
-  const noted = run.isAnswered
+  const recorded = run.isAnswered
     ? state
-    : recordUnanswered(state, run, finished, nowMs);
+    : recordUnanswered(state, run, event, nowMs);
   const running = deleteEntry(state.running, attemptId);
-  return runQueued({ ...noted, running }, nowMs);
+  return runQueued({ ...recorded, running }, nowMs);
 }
 
-/** A run without an answer says at least how long the answer didn't come. */
+/**
+ * Records a run that ended without an answer. Its elapsed time is a lower
+ * bound of the latency, and counts only if that alone is a slowdown.
+ */
 function recordUnanswered(
   state: AdmissionState,
   run: RunningRequest,
-  finished: Extract<AdmissionEvent, { type: "RequestFinished" }>,
+  event: Extract<AdmissionEvent, { type: "RequestFinished" }>,
   nowMs: number,
 ): AdmissionState {
-  const { result, downstreamMs = 0 } = finished;
+  const { result, downstreamMs = 0 } = event;
   if (result === "failed") {
     return { ...state, ramp: recordRunResult(state.ramp, false, nowMs) };
   }
@@ -209,36 +216,38 @@
   const { slots, running, queue } = state;
   const isIdle = running.size === 0;
   const limit = updateLimit(state.limit, { slots, isIdle, nowMs });
-  const moved: AdmissionState = {
+  const updated: AdmissionState = {
     ...state,
     limit,
     kinds: evictIdleKinds(state.kinds, nowMs),
   };
-  const next = isIdle && queue.length === 0 ? resetFinishTags(moved) : moved;
-  const ran = chainReduction(
+  const next = isIdle && queue.length === 0
+    ? resetFinishTags(updated)
+    : updated;
+  const started = chainReduction(
     expireQueued(next, nowMs),
     (s) => runQueued(s, nowMs),
   );
-  const cut = chainReduction(ran, (s) => shedLateRequests(s, nowMs));
+  const shed = chainReduction(started, (s) => shedLateRequests(s, nowMs));
   const { busySinceMs } = state;
-  const isStanding = queue.length > 0 &&
+  const hasStandingQueue = queue.length > 0 &&
     nowMs - (busySinceMs ?? nowMs) >= BUSY_INTERVAL_MS;
-  const level = updateLevel(cut.state.level, isStanding);
-  return { ...cut, state: { ...cut.state, level } };
+  const level = updateLevel(shed.state.level, hasStandingQueue);
+  return { ...shed, state: { ...shed.state, level } };
 }
 
 function evictIdleKinds(
   kinds: AdmissionState["kinds"],
   nowMs: number,
 ): AdmissionState["kinds"] {
-  const oldest = nowMs - KIND_TTL_MS;
-  const isStale = (kind: KindState) => kind.usedAtMs < oldest;
-  return [...kinds.values()].some(isStale)
-    ? new Map([...kinds].filter(([, kind]) => !isStale(kind)))
+  const minUsedAtMs = nowMs - KIND_TTL_MS;
+  const isIdle = (kind: KindState) => kind.usedAtMs < minUsedAtMs;
+  return [...kinds.values()].some(isIdle)
+    ? new Map([...kinds].filter(([, kind]) => !isIdle(kind)))
     : kinds;
 }
 
-/** An idle backend server owes no kind anything. */
+/** Resets the fair queue of an idle backend server. */
 function resetFinishTags(state: AdmissionState): AdmissionState {
   if (state.virtualMs === 0) {
     return state;
