--- a/src/engine/admission/common/concurrency_limit.ts
+++ b/src/engine/admission/common/concurrency_limit.ts
@@ -1,29 +1,33 @@
 /**
- * How many requests run at a time, by the gradient of latency: the long-term
- * over the recent one, after Netflix's concurrency-limits (Gradient2Limit).
- * Each answer is measured against the baseline of its own kind, so kinds that
- * are long by nature don't count as a slowdown.
+ * Adaptive concurrency limit by the gradient of latency, the ratio of the
+ * long-term to the recent one, after Netflix's concurrency-limits
+ * (Gradient2Limit). Each answer is compared with the baseline of its own kind,
+ * so kinds with a long service time do not count as a slowdown.
  */
 
-/** The limit and the answers since it was last moved. */
+/** The limit, and the answers since its last update. */
 export interface ConcurrencyLimit {
+  /** Requests that may run at a time; not rounded. */
   readonly value: number;
+  /** Sum of the logarithms of the recorded slowdowns. */
   readonly slowdownSum: number;
   readonly slowdownCount: number;
+  /** Wall clock in milliseconds. */
   readonly updatedAtMs: number;
 }
 
-/** What the next limit is computed from. */
+/** Inputs of an update. */
 export interface LimitInputs {
+  /** Upper bound of the limit: the slots that the backend server announced. */
   readonly slots: number;
-  /** Whether nothing runs. */
+  /** Whether no request is running. */
   readonly isIdle: boolean;
   readonly nowMs: number;
 }
 
-/** Lowest limit, where the backend server announced as many slots. */
+/** Lower bound of the limit, or the announced slots if they are fewer. */
 export const MIN_LIMIT = 2;
-/** Recent latency may be this many times the baseline. */
+/** Ratio of latency to baseline up to which the gradient is 1. */
 const LATENCY_TOLERANCE = 2;
 const MIN_GRADIENT = 0.5;
 const SMOOTHING_FACTOR = 0.5;
@@ -31,34 +35,41 @@
 const MAX_WINDOW_MS = 1_000;
 const MIN_WINDOW_SAMPLES = 4;
 
-/** Creates the limit of a backend server with `slots`. */
+/** Creates the limit of a backend server that announced `slots`. */
 export function createLimit(slots: number): ConcurrencyLimit {
   return { value: slots, slowdownSum: 0, slowdownCount: 0, updatedAtMs: 0 };
 }
 
-/** Takes in how many times its baseline one answer took. */
+/**
+ * Records one answer. `slowdown` is the ratio of its latency to the baseline of
+ * its kind.
+ */
 export function recordSlowdown(
   limit: ConcurrencyLimit,
   slowdown: number,
 ): ConcurrencyLimit {
   return {
     ...limit,
-    // Logarithms, so that one long request is no slowdown of the server.
+    // The logarithm keeps a single long request from counting as a slowdown of
+    // the backend server.
     slowdownSum: limit.slowdownSum + Math.log(slowdown),
     slowdownCount: limit.slowdownCount + 1,
   };
 }
 
-/** Moves the limit once a window is full; it grows back while idle. */
+/**
+ * Updates the limit once the window has enough samples or has lasted for long.
+ * While the backend server is idle, the limit grows back without samples.
+ */
 export function updateLimit(
   limit: ConcurrencyLimit,
   inputs: LimitInputs,
 ): ConcurrencyLimit {
   const { nowMs, isIdle } = inputs;
   const ageMs = nowMs - limit.updatedAtMs;
-  const isFull = limit.slowdownCount >= MIN_WINDOW_SAMPLES ||
+  const hasEnoughSamples = limit.slowdownCount >= MIN_WINDOW_SAMPLES ||
     (limit.slowdownCount > 0 && ageMs >= MAX_WINDOW_MS);
-  if (ageMs < MIN_WINDOW_MS || !(isFull || isIdle)) {
+  if (ageMs < MIN_WINDOW_MS || !(hasEnoughSamples || isIdle)) {
     return limit;
   }
   return {
@@ -80,6 +91,6 @@
   const next = target > value
     ? target
     : value + SMOOTHING_FACTOR * (target - value);
-  const floor = Math.min(MIN_LIMIT, inputs.slots);
-  return Math.min(inputs.slots, Math.max(floor, next));
+  const minimum = Math.min(MIN_LIMIT, inputs.slots);
+  return Math.min(inputs.slots, Math.max(minimum, next));
 }
--- a/src/engine/admission/common/fair_queue.ts
+++ b/src/engine/admission/common/fair_queue.ts
@@ -1,16 +1,20 @@
-/** Order of the queue: importance, then weighted shares of the kinds. */
+/** Order of the queue: by importance, then by weighted shares of the kinds. */
 import type { KindState, QueuedRequest } from "./admission_types.ts";
 
-/** What decides whose turn it is. */
+/** Inputs of the choice of the next request. */
 export interface SelectionInputs {
+  /** By kind of request. */
   readonly kinds: ReadonlyMap<string, KindState>;
+  /** Virtual time of the fair queue. */
   readonly virtualMs: number;
+  /** Whether a request may run now. */
   readonly hasFreeCapacity: (request: QueuedRequest) => boolean;
 }
 
 /**
- * Orders requests of one kind, first to run first: importance, hash of the
- * root, work already invested, age.
+ * Compares two requests of one kind; the one to run first sorts first. The
+ * order is importance, admission hash of the root request, depth (work already
+ * done for the root request) and time of arrival.
  */
 export function comparePriority(a: QueuedRequest, b: QueuedRequest): number {
   return b.importance - a.importance || b.admissionHash - a.admissionHash ||
@@ -18,23 +22,23 @@
 }
 
 /**
- * Selects the next request. Kinds of one importance take turns by start-time
- * fair queueing (Goyal, Vin and Cheng, 1996).
+ * Selects the next request to run. Kinds of the highest importance share the
+ * capacity by start-time fair queueing (Goyal, Vin and Cheng, 1996).
  */
 export function selectNext(
   queue: readonly QueuedRequest[],
   inputs: SelectionInputs,
 ): QueuedRequest | undefined {
   const ready = queue.filter(inputs.hasFreeCapacity);
-  const top = Math.max(...ready.map((request) => request.importance));
-  return ready.filter((request) => request.importance === top)
+  const highest = Math.max(...ready.map((request) => request.importance));
+  return ready.filter((request) => request.importance === highest)
     .toSorted((a, b) =>
       computeStartTag(inputs, a.row.kind) -
         computeStartTag(inputs, b.row.kind) || comparePriority(a, b)
     )[0];
 }
 
-/** Computes the start tag of the next request of a kind. */
+/** Computes the start tag of the next request of a kind, in virtual ms. */
 export function computeStartTag(
   inputs: Pick<SelectionInputs, "kinds" | "virtualMs">,
   kind: string,
@@ -44,17 +48,18 @@
 }
 
 /**
- * Selects the request to give up: of the least importance, of the kind that
- * holds most of the queue for its weight, last in rank, the newest.
+ * Selects the request to refuse: of the lowest importance, then of the kind
+ * with the most queued requests for its weight, then of the lowest priority,
+ * then the newest.
  */
 export function selectVictim(
   queue: readonly QueuedRequest[],
 ): QueuedRequest | undefined {
   const lowest = Math.min(...queue.map((request) => request.importance));
-  const low = queue.filter((request) => request.importance === lowest);
-  const held = countByKind(low);
-  return low.toReversed().toSorted((a, b) =>
-    computeQueueShare(held, b) - computeQueueShare(held, a) ||
+  const candidates = queue.filter((request) => request.importance === lowest);
+  const counts = countByKind(candidates);
+  return candidates.toReversed().toSorted((a, b) =>
+    computeQueueShare(counts, b) - computeQueueShare(counts, a) ||
     comparePriority(b, a)
   )[0];
 }
@@ -71,8 +76,8 @@
 }
 
 function computeQueueShare(
-  held: ReadonlyMap<string, number>,
+  counts: ReadonlyMap<string, number>,
   request: QueuedRequest,
 ): number {
-  return held.get(request.row.kind)! / request.row.weight;
+  return counts.get(request.row.kind)! / request.row.weight;
 }
--- a/src/engine/admission/common/level_control.ts
+++ b/src/engine/admission/common/level_control.ts
@@ -1,8 +1,8 @@
 /**
- * Moves the admission level with the load, after DAGOR (Zhou et al., Overload
- * Control for Scaling WeChat Microservices, SoCC 2018): requests are counted
- * by importance in short windows; an overloaded window raises the level by as
- * much as must go, a calm one lowers it.
+ * Adjusts the admission level to the load, after DAGOR (Zhou et al., Overload
+ * Control for Scaling WeChat Microservices, SoCC 2018). Requests are counted
+ * by importance in short windows. An overloaded window raises the level by the
+ * share of requests to shed; a window without overload lowers it.
  */
 import {
   type AdmissionLevel,
@@ -10,25 +10,28 @@
   MAX_IMPORTANCE,
 } from "./admission_level.ts";
 
-/** The level on a scale from 0 (none) to 10, and the present window. */
+/** The current level, and the counts of the current window. */
 export interface LevelControl {
-  /** Importance in the whole part, share of the hashes in the rest. */
+  /**
+   * The level as a position from 0 (none) to 10: importance in the integer
+   * part, share of the hash range in the fraction.
+   */
   readonly position: number;
-  /** Calm windows in a row. */
+  /** Number of consecutive windows without overload. */
   readonly calmWindows: number;
-  /** Arrivals of the window at or over the level, by importance. */
+  /** Arrivals in the window at or above the level, by importance. */
   readonly arrivals: readonly number[];
-  /** Refusals of the window for want of capacity. */
+  /** Requests refused in the window for lack of capacity. */
   readonly refused: number;
-  /** Highest importance among them. */
+  /** Highest importance among the refused requests. */
   readonly maxRefusedImportance: number;
-  /** Share that the last windows refused, 0 to 1. */
+  /** Smoothed share of the arrivals that were refused, 0 to 1. */
   readonly pressure: number;
 }
 
 const NO_ARRIVALS: readonly number[] = Array(MAX_IMPORTANCE + 1).fill(0);
 
-/** No level, nothing counted. */
+/** State without a level or any counts. */
 export const INITIAL_LEVEL_CONTROL: LevelControl = {
   position: 0,
   calmWindows: 0,
@@ -38,17 +41,17 @@
   pressure: 0,
 };
 
-/** Some of the most important always pass, however high the load. */
+/** Admits a tenth of the most important requests, however high the load. */
 const MAX_POSITION = MAX_IMPORTANCE + 0.9;
-/** Part of the excess cut at a time, as its effect shows only later. */
+/** Part of the excess that one window sheds, as the effect is delayed. */
 const SHED_GAIN = 0.3;
 const MIN_SHED_SHARE = 0.01;
 const MAX_SHED_SHARE = 0.3;
-/** First step down; it doubles with each calm window. */
+/** First decrease of the position; doubles with each window without overload. */
 const INITIAL_DECREASE = 0.02;
 const PRESSURE_GAIN = 0.2;
 
-/** Counts an arrival. */
+/** Counts an arrival at or above the level. */
 export function recordArrival(
   control: LevelControl,
   importance: number,
@@ -58,7 +61,7 @@
   return { ...control, arrivals };
 }
 
-/** Counts a request refused for want of capacity. */
+/** Counts a request that was refused for lack of capacity. */
 export function recordOverload(
   control: LevelControl,
   importance: number,
@@ -72,38 +75,39 @@
 }
 
 /**
- * Ends a window and moves the level. Only a queue that stood through it
- * (`isStanding`) tells overload from a burst.
+ * Ends a window and adjusts the level. Refusals raise it only if the queue was
+ * not empty throughout the window (`hasStandingQueue`); otherwise they are due
+ * to a burst.
  */
 export function updateLevel(
   control: LevelControl,
-  isStanding: boolean,
+  hasStandingQueue: boolean,
 ): LevelControl {
   const total = control.arrivals.reduce((sum, count) => sum + count, 0);
   const share = Math.min(1, control.refused / Math.max(1, total));
   const pressure = control.pressure +
     PRESSURE_GAIN * (share - control.pressure);
   const window = { ...INITIAL_LEVEL_CONTROL, pressure };
-  if (control.refused > 0 && isStanding) {
-    const cut = Math.min(
+  if (control.refused > 0 && hasStandingQueue) {
+    const shedShare = Math.min(
       MAX_SHED_SHARE,
       Math.max(MIN_SHED_SHARE, SHED_GAIN * share),
     );
     return {
       ...window,
-      position: raisePosition(control, cut * total),
+      position: raisePosition(control, shedShare * total),
       calmWindows: 0,
     };
   }
-  const calm = control.calmWindows + 1;
-  const place = Math.max(
+  const calmWindows = control.calmWindows + 1;
+  const position = Math.max(
     0,
     control.position - INITIAL_DECREASE * 2 ** control.calmWindows,
   );
-  return { ...window, position: place, calmWindows: place === 0 ? 0 : calm };
+  return { ...window, position, calmWindows: position === 0 ? 0 : calmWindows };
 }
 
-/** Reads the level; undefined where nothing is to be refused early. */
+/** Returns the level, or undefined if no request is to be refused early. */
 export function getCurrentLevel(
   control: LevelControl,
 ): AdmissionLevel | undefined {
@@ -111,24 +115,26 @@
 }
 
 /**
- * Hashes are uniform, so a share of an importance is a share of its range.
- * Nothing over the importances that were refused is cut.
+ * Raises the position so that `count` requests of the window would be below
+ * it. Hashes are uniform, so a share of an importance's requests is the same
+ * share of its hash range. The position does not pass the importances that
+ * were refused.
  */
-function raisePosition(control: LevelControl, cut: number): number {
-  const highest = Math.min(MAX_POSITION, control.maxRefusedImportance + 1);
-  if (control.position >= highest) {
+function raisePosition(control: LevelControl, count: number): number {
+  const maxPosition = Math.min(MAX_POSITION, control.maxRefusedImportance + 1);
+  if (control.position >= maxPosition) {
     return control.position;
   }
-  let place = control.position;
-  let left = cut;
-  for (let i = Math.floor(place); i <= MAX_IMPORTANCE; i += 1) {
-    const count = control.arrivals[i]!;
-    if (count >= left) {
-      const part = count === 0 ? 0 : left / count;
-      return Math.min(highest, place + (i + 1 - place) * part);
+  let position = control.position;
+  let remaining = count;
+  for (let i = Math.floor(position); i <= MAX_IMPORTANCE; i += 1) {
+    const arrivals = control.arrivals[i]!;
+    if (arrivals >= remaining) {
+      const fraction = arrivals === 0 ? 0 : remaining / arrivals;
+      return Math.min(maxPosition, position + (i + 1 - position) * fraction);
     }
-    left -= count;
-    place = i + 1;
+    remaining -= arrivals;
+    position = i + 1;
   }
-  return highest;
+  return maxPosition;
 }
--- a/src/engine/admission/common/level_view.ts
+++ b/src/engine/admission/common/level_view.ts
@@ -1,46 +1,54 @@
-/** What an entry node knows of the admission levels of backend servers. */
+/**
+ * Admission levels of backend servers, as an entry node received them. An entry
+ * node is the node that a root request arrives at.
+ */
 import { hashText } from "../../../base/common/hash.ts";
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 import { isBelowLevel } from "./admission_level.ts";
 import type { AdmissionLevel, AdmissionPriority } from "./admission_level.ts";
 
-/** A level that a backend server's node said. */
+/** A level reported by the node of a backend server. */
 export interface CachedLevel {
   readonly level: AdmissionLevel;
+  /** Wall clock in milliseconds. */
   readonly expiresAtMs: number;
 }
 
-/** Levels by node id and kind, the latest one last. */
+/** Levels by node id and kind, in the order of their updates. */
 export type LevelView = ReadonlyMap<string, CachedLevel>;
 
-/** A level as it stood on an answer; undefined: the answer named none. */
+/** The level that an answer reported. */
 export interface LevelReport {
   readonly nodeId: string;
   readonly kind: string;
+  /** Undefined if the answer had no level. */
   readonly level: AdmissionLevel | undefined;
 }
 
-/** One kind of a service. */
+/** A kind of request and the members of its service. */
 export interface ServiceKind {
   readonly kind: string;
   /** Node ids of the service's backend servers. */
   readonly members: readonly string[];
 }
 
-/** A request that has cost nothing yet. */
+/** A root request at its entry node, before any work is done for it. */
 export interface EarlyRequest extends AdmissionPriority, ServiceKind {
-  /** Draws the probes. */
+  /** Id whose hash selects the requests that are sent as probes. */
   readonly id: string;
 }
 
-/** Levels that are kept. */
+/** Maximum number of levels retained; the oldest one is evicted first. */
 export const MAX_LEVELS = 2_048;
-/** A level that no answer renews is forgotten after this time. */
+/** A level that no answer renews expires after this time. */
 export const LEVEL_TTL_MS = 1_000;
-/** One in so many goes through, so that a fallen level is learned. */
+/**
+ * One in this many requests is sent regardless of the level, so that an answer
+ * reports a level that has fallen.
+ */
 const PROBE_INTERVAL = 50;
 
-/** Keeps the level of an answer; one without a level clears it. */
+/** Records the level of an answer; an answer without a level removes it. */
 export function recordLevel(
   view: LevelView,
   report: LevelReport,
@@ -53,16 +61,17 @@
     return rest;
   }
   const oldest = rest.keys().next().value;
-  const kept = rest.size >= MAX_LEVELS && oldest !== undefined
+  const retained = rest.size >= MAX_LEVELS && oldest !== undefined
     ? deleteEntry(rest, oldest)
     : rest;
   const expiresAtMs = nowMs + LEVEL_TTL_MS;
-  return setEntry(kept, key, { level, expiresAtMs });
+  return setEntry(retained, key, { level, expiresAtMs });
 }
 
 /**
- * Reads the level of a service for one kind: the highest one that at least
- * half of its backend servers are at, so that a straggler alone sheds nothing.
+ * Computes the level of a service for one kind: the highest one that at least
+ * half of its backend servers have reached, so that a single straggler sheds
+ * no requests.
  */
 export function computeServiceLevel(
   view: LevelView,
@@ -71,13 +80,15 @@
 ): AdmissionLevel | undefined {
   const { members, kind } = service;
   const levels = members.flatMap((nodeId) => {
-    const seen = view.get(createKey(nodeId, kind));
-    return seen !== undefined && seen.expiresAtMs > nowMs ? [seen.level] : [];
+    const cached = view.get(createKey(nodeId, kind));
+    return cached !== undefined && cached.expiresAtMs > nowMs
+      ? [cached.level]
+      : [];
   });
-  const ordered = levels.toSorted((a, b) =>
+  const sorted = levels.toSorted((a, b) =>
     b.importance - a.importance || b.hash - a.hash
   );
-  return ordered[Math.max(1, Math.ceil(members.length / 2)) - 1];
+  return sorted[Math.max(1, Math.ceil(members.length / 2)) - 1];
 }
 
 /** Whether at least half of the service's backend servers would refuse it. */
--- a/src/engine/admission/common/ramp.ts
+++ b/src/engine/admission/common/ramp.ts
@@ -1,33 +1,34 @@
-/** Slow start of a cold backend server, or of one that has come back. */
+/** Slow start of a cold backend server, or of one that was down. */
 
-/** Where the ramp stands. */
+/** State of the ramp. */
 export interface Ramp {
-  /** Undefined before the first event. */
+  /** Wall clock in milliseconds; undefined before the first event. */
   readonly startedAtMs: number | undefined;
-  /** Runs that failed one after the other. */
+  /** Number of consecutive failed runs. */
   readonly consecutiveFailures: number;
 }
 
-/** The ramp of a node that has just started. */
+/** State of the ramp when the node starts. */
 export const INITIAL_RAMP: Ramp = {
   startedAtMs: undefined,
   consecutiveFailures: 0,
 };
 
-/** Time from the start to all slots. */
+/** Time from the start of the ramp until all slots are available. */
 export const RAMP_MS = 5_000;
+/** Share of the slots that is available when the ramp starts. */
 const INITIAL_SHARE = 0.1;
-/** Failures in a row after which the backend server counts as down. */
+/** Consecutive failures after which the backend server counts as down. */
 export const DOWN_FAILURES = 5;
 
-/** Begins the ramp at the first event. */
+/** Starts the ramp at the first event. */
 export function startRamp(ramp: Ramp, nowMs: number): Ramp {
   return ramp.startedAtMs === undefined
     ? { ...ramp, startedAtMs: nowMs }
     : ramp;
 }
 
-/** Takes in a run; the first answer after an outage begins a new ramp. */
+/** Records a run; the first answer after an outage restarts the ramp. */
 export function recordRunResult(
   ramp: Ramp,
   isAnswered: boolean,
@@ -43,13 +44,13 @@
   };
 }
 
-/** Computes how many of `slots` the ramp leaves at `nowMs`. */
+/** Computes how many of `slots` are available at `nowMs`; not rounded. */
 export function computeRampSlots(
   ramp: Ramp,
   slots: number,
   nowMs: number,
 ): number {
   const ageMs = nowMs - (ramp.startedAtMs ?? nowMs);
-  const grown = INITIAL_SHARE + (1 - INITIAL_SHARE) * (ageMs / RAMP_MS);
-  return slots * Math.min(1, Math.max(INITIAL_SHARE, grown));
+  const share = INITIAL_SHARE + (1 - INITIAL_SHARE) * (ageMs / RAMP_MS);
+  return slots * Math.min(1, Math.max(INITIAL_SHARE, share));
 }
--- a/src/engine/admission/common/rate_limit.ts
+++ b/src/engine/admission/common/rate_limit.ts
@@ -1,14 +1,17 @@
-/** Rate limit of one kind by GCRA (ITU-T I.371, virtual scheduling). */
+/** Rate limit of one kind of request, by GCRA (ITU-T I.371). */
 
-/** Requests that would come in this time may come at once. */
+/** Burst tolerance: the requests that the rate gives in this time. */
 const BURST_MS = 250;
 
-/** Whether a request conforms, and the theoretical arrival time after it. */
+/**
+ * Whether a request conforms to the rate limit. If so, the theoretical arrival
+ * time of the next one; otherwise, the time until a request would conform.
+ */
 export type RateCheck =
   | { readonly type: "Conforms"; readonly theoreticalMs: number }
   | { readonly type: "Exceeds"; readonly waitMs: number };
 
-/** Checks one request against `rate` a second. */
+/** Checks one request against a limit of `rate` requests per second. */
 export function checkRate(
   theoreticalMs: number,
   rate: number,
--- a/src/engine/admission/common/service_time.ts
+++ b/src/engine/admission/common/service_time.ts
@@ -1,17 +1,22 @@
-/** Service time of one kind: what to expect, and its long-term baseline. */
+/** Service time of one kind of request: expected value and baseline. */
 
-/** Times of one kind, from the start of a run to the head of its answer. */
+/** Times from the start of a run to the head of its answer, for one kind. */
 export interface ServiceTime {
   /** Moving average in milliseconds; undefined before the first answer. */
   readonly expectedMs: number | undefined;
-  /** Long-term mean of the logarithm; undefined until it is known. */
+  /**
+   * Long-term mean of the logarithm of the time in milliseconds; undefined
+   * until `BASELINE_SAMPLES` answers were recorded.
+   */
   readonly baselineLog: number | undefined;
+  /** Sum of the logarithms since the last update of the baseline. */
   readonly sampleSum: number;
   readonly sampleCount: number;
+  /** When the baseline was last updated, wall clock in milliseconds. */
   readonly updatedAtMs: number;
 }
 
-/** Nothing is known of a kind yet. */
+/** State of a kind without any answers. */
 export const UNKNOWN_SERVICE_TIME: ServiceTime = {
   expectedMs: undefined,
   baselineLog: undefined,
@@ -20,26 +25,30 @@
   updatedAtMs: 0,
 };
 
-/** Answers that make up one update of the baseline. */
+/** Number of answers per update of the baseline. */
 export const BASELINE_SAMPLES = 8;
-/** The baseline rises slowly, so that a slowdown isn't taken for normal. */
+/** Time constant of a rise; long, so that a slowdown is not taken for normal. */
 const BASELINE_RISE_MS = 30_000;
+/** Time constant of a fall. */
 const BASELINE_FALL_MS = 5_000;
 const EXPECTED_RISE_GAIN = 0.1;
-/** Falls faster: too high an estimate refuses what could be served. */
+/** Higher, as too high an estimate refuses requests that could be served. */
 const EXPECTED_FALL_GAIN = 0.3;
 const MIN_LATENCY_MS = 1;
-/** Below this, a difference may be the delay of this process alone. */
+/** Shorter times may differ by the delays of this process alone. */
 const MIN_BASELINE_MS = 5;
 
-/** How long an answer took, in milliseconds. */
+/** Time of one answer, in milliseconds. */
 export interface AnswerTime {
   readonly latencyMs: number;
-  /** Without the time in which the backend server waited for its own calls. */
+  /** Latency less the time that the backend server waited for its own calls. */
   readonly ownMs: number;
 }
 
-/** Takes in one answer: the latency is expected, its own part the baseline. */
+/**
+ * Records one answer. The whole latency updates the expected time, and the
+ * backend server's own part of it the baseline.
+ */
 export function recordLatency(
   time: ServiceTime,
   answer: AnswerTime,
@@ -57,7 +66,7 @@
   }, nowMs);
 }
 
-/** Computes how many times its baseline a latency is; undefined: unknown. */
+/** Computes the ratio of a latency to the baseline; undefined without one. */
 export function computeSlowdown(
   time: ServiceTime,
   latencyMs: number,
@@ -73,8 +82,8 @@
   }
   const mean = time.sampleSum / time.sampleCount;
   const old = time.baselineLog ?? mean;
-  const spanMs = mean > old ? BASELINE_RISE_MS : BASELINE_FALL_MS;
-  const gain = 1 - Math.exp((time.updatedAtMs - nowMs) / spanMs);
+  const timeConstantMs = mean > old ? BASELINE_RISE_MS : BASELINE_FALL_MS;
+  const gain = 1 - Math.exp((time.updatedAtMs - nowMs) / timeConstantMs);
   return {
     ...time,
     baselineLog: old + gain * (mean - old),
