--- a/src/engine/admission/common/admission_level.ts
+++ b/src/engine/admission/common/admission_level.ts
@@ -32,7 +32,7 @@
 export interface HashInputs {
   /** Id of the caller, or of the root request if the caller has none. */
   readonly key: string;
-  /** Weight of the kind over the highest weight of its importance; at most 1. */
+  /** Ratio of the kind's weight to the highest weight of its importance. */
   readonly share: number;
   /** Wall clock in milliseconds. */
   readonly nowMs: number;
--- a/src/engine/admission/common/call_tree.ts
+++ b/src/engine/admission/common/call_tree.ts
@@ -1,77 +1,83 @@
 /**
- * Which calls the local backend server makes itself, and for the requests of
- * which routes. Nothing marks such a call, and it may have a time limit of its
- * own, so a match of deadlines finds none of them; two observations tell it,
- * the spread of callers at once and counts of coincidences for certain: 0.99 of
- * the calls after a second of play of known trees.
+ * Detects which outgoing calls the local backend server makes itself, and for
+ * requests of which routes. Such a call has no mark, and may have a timeout of
+ * its own, so matching deadlines does not find it. Two observations do: the
+ * spread of callers, which is quick, and the counts of coincidences, which are
+ * reliable. Together they find 0.99 of the calls after one second in
+ * simulations of known call trees.
  */
 import type { CallerSpread } from "./caller_spread.ts";
 import type { CoincidenceCounter } from "./coincidence.ts";
 
-/** A callee of a route that the backend server runs. */
+/** Destination of a call. */
 export interface Callee {
   readonly route: string;
   readonly service: string;
 }
 
-/** What the tree is judged by. */
+/** Observations that the tree is built from. */
 export interface CallTreeInputs {
   readonly coincidences: CoincidenceCounter;
   readonly spread: CallerSpread;
-  /** Service of the own backend server. */
+  /** Returns the service of the own backend server. */
   readonly getService: () => string;
+  /** Counts the known nodes by service. */
   readonly countNodes: () => ReadonlyMap<string, number>;
 }
 
+/** Whether the backend server makes the calls of a route. */
 interface CachedDetection {
   readonly isNested: boolean;
   readonly detectedAtMs: number;
 }
 
+/** Routes whose runs may make the calls of a route. */
 interface CachedParents {
   readonly parents: readonly string[];
   readonly listedAtMs: number;
 }
 
-/** A judgement holds for so long: it costs a pass over all reports. */
+/** Lifetime of a cached result; a detection iterates over all reports. */
 const CACHE_TTL_MS = 200;
-/** Counts with a smaller standard error are certain enough to decide. */
+/** Maximum standard error of a share at which the counts decide. */
 const MAX_STANDARD_ERROR = 0.15;
 /**
- * From this share on, a route's calls are the backend server's: the counts
- * leave out what long runs explain, up to half.
+ * Minimum share of a route's calls for them to count as the backend server's.
+ * It is below one half, as the counts miss up to half of the calls that long
+ * runs make.
  */
 const MIN_NESTED_SHARE = 0.4;
-/** Below it none are, whatever the spread says. */
+/** Below this share, no calls count as the backend server's. */
 const MAX_ROOT_SHARE = 0.1;
 /**
- * A route whose runs explain less of a callee's calls, for certain, does not
- * call it. Routes that call nobody came to 0.03 at most within ten seconds of
- * play of known trees.
+ * A route whose runs make less than this share of a callee's calls, within the
+ * error, does not call it. Routes without calls reach at most 0.03 within ten
+ * seconds in simulations of known call trees.
  */
 const MIN_EDGE_SHARE = 0.1;
 /**
- * A route with fewer runs makes no share of the calls that matters, unless it
- * makes dozens each; routes that are asked for now and then would be refused
- * for the load of others.
+ * A route is not a parent if the callee gets more calls than this per run of
+ * the route: unless each run makes dozens of calls, its share of them is
+ * negligible. Otherwise, requests of rarely used routes would be refused for
+ * the load of other routes.
  */
 const MAX_CALLS_PER_RUN = 50;
-/** Standard errors that make an estimate certain. */
+/** Number of standard errors that bounds an estimate. */
 const CONFIDENCE_STANDARD_ERRORS = 2;
 
-/** What one node knows of the calls that begin on its VM. */
+/** The call tree as one node observes it from the calls of its VM. */
 export class CallTree {
   readonly #inputs: CallTreeInputs;
   readonly #detections = new Map<string, CachedDetection>();
   readonly #cachedParents = new Map<string, CachedParents>();
-  /** Service that a route's calls went to last. */
+  /** Service that the last call of each route went to. */
   readonly #services = new Map<string, string>();
 
   constructor(inputs: CallTreeInputs) {
     this.#inputs = inputs;
   }
 
-  /** Notes a call, and tells whether the backend server made it. */
+  /** Records a call, and returns whether the backend server made it. */
   recordCall(call: Callee, nowMs: number): boolean {
     const { coincidences } = this.#inputs;
     coincidences.recordCall(call.route, nowMs);
@@ -79,18 +85,18 @@
     return this.isNested(call.route, nowMs);
   }
 
-  /** Whether the calls of a route are made by the backend server. */
+  /** Whether the backend server makes the calls of a route. */
   isNested(route: string, nowMs: number): boolean {
-    const before = this.#detections.get(route);
-    if (before !== undefined && nowMs - before.detectedAtMs < CACHE_TTL_MS) {
-      return before.isNested;
+    const cached = this.#detections.get(route);
+    if (cached !== undefined && nowMs - cached.detectedAtMs < CACHE_TTL_MS) {
+      return cached.isNested;
     }
     const isNested = this.#detectNested(route, nowMs);
     this.#detections.set(route, { isNested, detectedAtMs: nowMs });
     return isNested;
   }
 
-  /** Lists the routes whose requests make calls, and what they call. */
+  /** Lists the routes whose runs make calls, each with its callees. */
   listEdges(nowMs: number): readonly (readonly [string, readonly Callee[]])[] {
     const edges = new Map<string, Callee[]>();
     for (const route of this.#inputs.coincidences.listCalledRoutes()) {
@@ -109,9 +115,9 @@
 
   /** Lists the routes whose runs may make the calls of a route. */
   listParents(route: string, nowMs: number): readonly string[] {
-    const before = this.#cachedParents.get(route);
-    if (before !== undefined && nowMs - before.listedAtMs < CACHE_TTL_MS) {
-      return before.parents;
+    const cached = this.#cachedParents.get(route);
+    if (cached !== undefined && nowMs - cached.listedAtMs < CACHE_TTL_MS) {
+      return cached.parents;
     }
     const parents = this.#findParents(route);
     if (parents.length === 0) {
@@ -122,7 +128,7 @@
     return parents;
   }
 
-  /** A route that runs beside calls counts until it is shown to make none. */
+  /** Finds the routes that may make the calls; excludes those shown not to. */
   #findParents(route: string): readonly string[] {
     const { coincidences } = this.#inputs;
     return coincidences.listParents(route).filter((parent) => {
@@ -130,9 +136,9 @@
         route,
         parent,
       );
-      const isRare = coincidences.countCallsPerRun(route, parent) >
+      const isRarelyRun = coincidences.countCallsPerRun(route, parent) >
         MAX_CALLS_PER_RUN;
-      return !isRare &&
+      return !isRarelyRun &&
         share + CONFIDENCE_STANDARD_ERRORS * error >= MIN_EDGE_SHARE;
     });
   }
@@ -141,12 +147,12 @@
     const { coincidences, spread, getService, countNodes } = this.#inputs;
     const { share, error } = coincidences.estimateShare(route);
     const isCertain = error <= MAX_STANDARD_ERROR;
-    const bySpread = spread.detectNested(route, {
+    const isNestedBySpread = spread.detectNested(route, {
       service: getService(),
       nodes: countNodes(),
       nowMs,
     });
-    return bySpread === true
+    return isNestedBySpread === true
       ? !isCertain || share >= MAX_ROOT_SHARE
       : isCertain && share >= MIN_NESTED_SHARE;
   }
--- a/src/engine/admission/common/caller_spread.ts
+++ b/src/engine/admission/common/caller_spread.ts
@@ -1,43 +1,52 @@
 /**
- * From which services the calls of a route come. Callers sit on the VMs of all
- * services, so their requests come from all; the calls that a backend server
- * makes come from the VMs of its own service alone.
+ * Services from whose VMs the calls of a route come. Callers run on the VMs of
+ * all services, so their requests come from all of them; the calls that a
+ * backend server makes come only from the VMs of its own service.
  *
- * Load pattern: it is known after some ten calls, long before counts of
- * coincidences are, so a surge in the first second finds it.
+ * Load pattern: about ten calls are enough, far fewer than the counts of
+ * coincidences need, so it already works for a surge in the first second.
  */
 
-/** Calls by route, then by the service on whose VM they began. */
+/** Numbers of calls by route, then by the service whose VM they came from. */
 export type SpreadReport = readonly (readonly [
   route: string,
   callers: readonly (readonly [service: string, calls: number])[],
 ])[];
 
+/** A number of calls with exponential decay. */
 interface DecayingCount {
+  /** Value at `updatedAtMs`. */
   calls: number;
   updatedAtMs: number;
 }
 
-/** After so long a call counts half. */
+/** Half-life of a call in the counts. */
 const HALF_LIFE_MS = 10_000;
-/** A gate that has said nothing for so long is left out. */
+/** A report expires after this time. */
 const REPORT_VALID_MS = 5_000;
-/** Fewer calls than this decide nothing. */
+/** Minimum number of calls for a decision. */
 const MIN_CALLS = 10;
-/** Calls of any route that show that callers can reach a service's VMs. */
+/**
+ * Minimum number of calls of any route from the VMs of a service; with fewer,
+ * there may be no callers on them.
+ */
 const MIN_CALLER_CALLS = 20;
 /**
- * A VM of another service sends less than this part of what a VM of the own
- * service sends: callers' requests differ by less, as each service has VMs in
- * several data centres.
+ * A route is called by backend servers if a VM of another service sends less
+ * than this ratio of the calls that a VM of the own service sends. The numbers
+ * of callers' requests differ by less, as each service has VMs in several data
+ * centres.
  */
 const MAX_NESTED_RATIO = 0.2;
 
-/** Counts what arrives at one gate. */
+/**
+ * Counts the calls that arrive at one gate, the admission gate of one backend
+ * server.
+ */
 export class SpreadCounter {
   readonly #routes = new Map<string, Map<string, DecayingCount>>();
 
-  /** Counts a call that began on a VM of a service. */
+  /** Records a call that came from a VM of `callerService`. */
   recordCall(route: string, callerService: string, nowMs: number): void {
     const callers = this.#routes.get(route) ?? new Map<string, DecayingCount>();
     this.#routes.set(route, callers);
@@ -48,7 +57,7 @@
     count.updatedAtMs = nowMs;
   }
 
-  /** Creates what other nodes are told. */
+  /** Creates the report for other nodes. */
   createReport(nowMs: number): SpreadReport {
     return [...this.#routes].map(([route, callers]) =>
       [
@@ -63,86 +72,86 @@
   }
 }
 
+/** The last report of one gate. */
 interface ReceivedReport {
   readonly report: SpreadReport;
   readonly receivedAtMs: number;
 }
 
-/** Sums what gates report. */
+/** Evaluates the reports of all gates. */
 export class CallerSpread {
   readonly #reports = new Map<string, ReceivedReport>();
 
-  /** Takes the report of the gate at an address. */
+  /** Records the report of the gate at an address. */
   receiveReport(address: string, report: SpreadReport, nowMs: number): void {
     this.#reports.set(address, { report, receivedAtMs: nowMs });
   }
 
   /**
-   * Judges whether calls of a route from VMs of a service are made by its
-   * backend servers; undefined where too little is known.
+   * Returns whether the calls of a route from the VMs of a service are made by
+   * its backend servers, or undefined if there are too few calls.
    */
   detectNested(
     route: string,
-    asked: {
+    inputs: {
       readonly service: string;
-      /** Nodes of each service, where known. */
+      /** Number of known nodes by service. */
       readonly nodes: ReadonlyMap<string, number>;
       readonly nowMs: number;
     },
   ): boolean | undefined {
-    const { service, nodes, nowMs } = asked;
-    const { callers, alive } = this.#sum(route, nowMs);
-    const calls = callers.get(service) ?? 0;
+    const { service, nodes, nowMs } = inputs;
+    const { routeCalls, allCalls } = this.#sumCalls(route, nowMs);
+    const calls = routeCalls.get(service) ?? 0;
     if (calls < MIN_CALLS) {
       return undefined;
     }
-    const own = calls / Math.max(1, nodes.get(service) ?? 1);
+    const callsPerNode = calls / Math.max(1, nodes.get(service) ?? 1);
     const others = [...nodes].filter(([name, count]) =>
       name !== service && count > 0 &&
-      (alive.get(name) ?? 0) >= MIN_CALLER_CALLS &&
-      own * count * MAX_NESTED_RATIO >= 1
+      (allCalls.get(name) ?? 0) >= MIN_CALLER_CALLS &&
+      callsPerNode * count * MAX_NESTED_RATIO >= 1
     );
     return others.length === 0
       ? undefined
       : others.some(([name, count]) =>
-        (callers.get(name) ?? 0) / count < own * MAX_NESTED_RATIO
+        (routeCalls.get(name) ?? 0) / count < callsPerNode * MAX_NESTED_RATIO
       );
   }
 
-  #sum(route: string, nowMs: number) {
-    const callers = new Map<string, number>();
-    const alive = new Map<string, number>();
-    for (
-      const [address, { report, receivedAtMs: heardAtMs }] of this.#reports
-    ) {
-      if (nowMs - heardAtMs > REPORT_VALID_MS) {
+  /** Sums the calls of a route, and of all routes, by the calling service. */
+  #sumCalls(route: string, nowMs: number) {
+    const routeCalls = new Map<string, number>();
+    const allCalls = new Map<string, number>();
+    for (const [address, { report, receivedAtMs }] of this.#reports) {
+      if (nowMs - receivedAtMs > REPORT_VALID_MS) {
         this.#reports.delete(address);
         continue;
       }
       for (const [name, counts] of report) {
         for (const [service, calls] of counts) {
-          addCount(alive, service, calls);
+          addCount(allCalls, service, calls);
           if (name === route) {
-            addCount(callers, service, calls);
+            addCount(routeCalls, service, calls);
           }
         }
       }
     }
-    return { callers, alive };
+    return { routeCalls, allCalls };
   }
 }
 
 function computeDecayedCount(
-  { calls, updatedAtMs: notedAtMs }: DecayingCount,
+  { calls, updatedAtMs }: DecayingCount,
   nowMs: number,
 ): number {
-  return calls * 0.5 ** ((nowMs - notedAtMs) / HALF_LIFE_MS);
+  return calls * 0.5 ** ((nowMs - updatedAtMs) / HALF_LIFE_MS);
 }
 
 function addCount(
   counts: Map<string, number>,
   name: string,
-  more: number,
+  increment: number,
 ): void {
-  counts.set(name, (counts.get(name) ?? 0) + more);
+  counts.set(name, (counts.get(name) ?? 0) + increment);
 }
--- a/src/engine/admission/common/coincidence.ts
+++ b/src/engine/admission/common/coincidence.ts
@@ -1,63 +1,72 @@
 /**
- * How many of a node's outgoing calls are explained by what its backend server
- * runs. A call that a run makes finds that run under way, beside those that
- * run by chance; a caller's own request finds only the latter. What calls find
- * running above the mean is therefore the number of calls that runs made.
+ * Estimates how many of a node's outgoing calls the runs of its backend server
+ * made. When a run makes a call, that run is active, in addition to the runs
+ * that are active by chance; when a caller sends a request of its own, there
+ * are only the latter. The excess of active runs at calls over their mean is
+ * therefore the number of calls that runs made.
  *
- * Load pattern: it tells the calls of a busy backend server, where something
- * always runs and each single coincidence says nothing.
+ * Load pattern: it detects the calls of a busy backend server, where some run
+ * is always active and a single coincidence has no significance.
  */
 
-/** How much of a route's calls another route's runs explain. */
+/** Estimate of the share of a route's calls that runs of other routes made. */
 export interface ShareEstimate {
-  /** 0 where they have nothing to do with each other, 1 where all are made. */
+  /** About 0 if the runs made none of the calls, about 1 if they made all. */
   readonly share: number;
   /** Standard error of the share. */
   readonly error: number;
 }
 
+/** Runs of one route at the own backend server. */
 interface Parent {
+  /** Active runs. */
   running: number;
+  /** When `runMs` was last updated. */
   changedAtMs: number;
-  /** Runs by milliseconds in this interval. */
+  /** Sum of the run times in this interval, in milliseconds. */
   runMs: number;
-  /** Runs that began; older ones count less. */
+  /** Runs that began, with exponential decay. */
   runs: number;
 }
 
+/** Calls of one route against runs of another one. */
 interface Pair {
-  /** Runs that calls found in this interval. */
+  /** Sum of the active runs at each call in this interval. */
   observed: number;
-  /** Runs found beyond the mean, over the intervals before. */
+  /** Active runs above the mean, over the earlier intervals, with decay. */
   excess: number;
+  /** Variance of `excess`. */
   variance: number;
 }
 
+/** Calls of one route from the own VM. */
 interface Calls {
-  /** In this interval. */
+  /** Number in this interval. */
   count: number;
-  /** Over the intervals before; older ones count less. */
+  /** Number in the earlier intervals, with exponential decay. */
   total: number;
+  /** By the route of the runs. */
   readonly pairs: Map<string, Pair>;
 }
 
 /**
- * Means are taken over so long. A run that lasts as long as the interval is in
- * its mean at all calls, and explains none; of runs of 250 ms a quarter of the
- * calls is lost. In longer intervals changes of load look like coincidences.
+ * Interval of the means. A run as long as the interval is part of the mean at
+ * all calls, so that none is attributed to it; with runs of 250 ms, a quarter
+ * of the calls is missed. In longer intervals, changes of the load look like
+ * coincidences.
  */
 const INTERVAL_MS = 1_000;
-/** After so long an interval counts half: routes move to other services. */
+/** Half-life of earlier intervals, as routes move to other services. */
 const HALF_LIFE_MS = 10_000;
 const UNKNOWN_SHARE: ShareEstimate = { share: 0, error: Infinity };
 
-/** Counts at one node. Routes that were never seen have no entry. */
+/** Counts the coincidences of calls and runs at one node, by route. */
 export class CoincidenceCounter {
   readonly #parents = new Map<string, Parent>();
   readonly #calls = new Map<string, Calls>();
   #startedAtMs = 0;
 
-  /** A run of a route begins (1) or ends (-1) at the own backend server. */
+  /** Records that a run began (1) or ended (-1) at the own backend server. */
   recordRun(route: string, change: 1 | -1, nowMs: number): void {
     this.#advance(nowMs);
     const parent = this.#parents.get(route) ??
@@ -68,7 +77,7 @@
     parent.runs += Math.max(0, change);
   }
 
-  /** A call of a route came from this VM. */
+  /** Records a call of a route from this VM. */
   recordCall(route: string, nowMs: number): void {
     this.#advance(nowMs);
     const calls = this.#calls.get(route) ??
@@ -82,7 +91,7 @@
     }
   }
 
-  /** Estimates how much all runs together explain of a route's calls. */
+  /** Estimates the share of a route's calls that runs of any route made. */
   estimateShare(route: string): ShareEstimate {
     const calls = this.#calls.get(route);
     return calls === undefined
@@ -90,7 +99,7 @@
       : computeShareEstimate([...calls.pairs.values()], calls.total);
   }
 
-  /** Estimates how much the runs of one route explain. */
+  /** Estimates the share of a route's calls that runs of `parent` made. */
   estimateShareByParent(route: string, parent: string): ShareEstimate {
     const calls = this.#calls.get(route);
     const pair = calls?.pairs.get(parent);
@@ -99,19 +108,19 @@
       : computeShareEstimate([pair], calls!.total);
   }
 
-  /** Counts the calls of a route for each run of another one. */
+  /** Computes the ratio of a route's calls to the runs of `parent`. */
   countCallsPerRun(route: string, parent: string): number {
     const calls = this.#calls.get(route);
     const runs = this.#parents.get(parent)?.runs ?? 0;
     return ((calls?.total ?? 0) + (calls?.count ?? 0)) / Math.max(1, runs);
   }
 
-  /** Lists the routes that ran while calls of a route came. */
+  /** Lists the routes with active runs at calls of a route. */
   listParents(route: string): readonly string[] {
     return [...this.#calls.get(route)?.pairs.keys() ?? []];
   }
 
-  /** Lists the routes that were called. */
+  /** Lists the routes with recorded calls. */
   listCalledRoutes(): readonly string[] {
     return [...this.#calls.keys()];
   }
@@ -121,17 +130,17 @@
     if (lengthMs < INTERVAL_MS) {
       return;
     }
-    const kept = 0.5 ** (lengthMs / HALF_LIFE_MS);
+    const decay = 0.5 ** (lengthMs / HALF_LIFE_MS);
     this.#parents.forEach((parent) => addRunTime(parent, nowMs));
     for (const [route, calls] of this.#calls) {
-      this.#closeInterval(route, lengthMs, kept);
+      this.#closeInterval(route, lengthMs, decay);
       if (calls.total < 1) {
         this.#calls.delete(route);
       }
     }
     for (const [route, parent] of this.#parents) {
       parent.runMs = 0;
-      parent.runs *= kept;
+      parent.runs *= decay;
       if (parent.running === 0 && !this.#hasPair(route)) {
         this.#parents.delete(route);
       }
@@ -139,21 +148,21 @@
     this.#startedAtMs = nowMs;
   }
 
-  #closeInterval(route: string, lengthMs: number, kept: number): void {
+  #closeInterval(route: string, lengthMs: number, decay: number): void {
     const calls = this.#calls.get(route)!;
     const { count, pairs } = calls;
     for (const [name, parent] of this.#parents) {
       const expected = count * parent.runMs / lengthMs;
-      const isUnseen = expected === 0 && !pairs.has(name);
-      if (name === route || isUnseen) {
+      const isUnrelated = expected === 0 && !pairs.has(name);
+      if (name === route || isUnrelated) {
         continue;
       }
       const pair = getPair(calls, name);
-      pair.excess = pair.excess * kept + pair.observed - expected;
-      pair.variance = pair.variance * kept + expected;
+      pair.excess = pair.excess * decay + pair.observed - expected;
+      pair.variance = pair.variance * decay + expected;
       pair.observed = 0;
     }
-    calls.total = calls.total * kept + count;
+    calls.total = calls.total * decay + count;
     calls.count = 0;
   }
 
@@ -174,7 +183,10 @@
   parent.changedAtMs = nowMs;
 }
 
-/** Runs that chance puts beside calls are Poisson distributed. */
+/**
+ * The number of runs that are active by chance has a Poisson distribution, so
+ * its variance is its mean.
+ */
 function computeShareEstimate(
   pairs: readonly Pair[],
   total: number,
--- a/src/engine/admission/common/level_control.ts
+++ b/src/engine/admission/common/level_control.ts
@@ -47,7 +47,7 @@
 const SHED_GAIN = 0.3;
 const MIN_SHED_SHARE = 0.01;
 const MAX_SHED_SHARE = 0.3;
-/** First decrease of the position; doubles with each window without overload. */
+/** First decrease of the position; doubles in each consecutive calm window. */
 const INITIAL_DECREASE = 0.02;
 const PRESSURE_GAIN = 0.2;
 
@@ -66,11 +66,14 @@
   control: LevelControl,
   importance: number,
 ): LevelControl {
-  const refusedTop = Math.max(control.maxRefusedImportance, importance);
+  const maxRefusedImportance = Math.max(
+    control.maxRefusedImportance,
+    importance,
+  );
   return {
     ...control,
     refused: control.refused + 1,
-    maxRefusedImportance: refusedTop,
+    maxRefusedImportance,
   };
 }
 
--- a/src/engine/admission/common/overload_pressure.ts
+++ b/src/engine/admission/common/overload_pressure.ts
@@ -1,92 +1,97 @@
 /**
- * How hard callers' requests that lead to one backend server are to be refused
- * at their entry: a proportional-integral controller on the work asked for,
- * with the backlog as a second input.
+ * Overload pressure of one backend server: how strongly the entry nodes refuse
+ * root requests whose calls lead to it. A proportional-integral controller on
+ * the demand for service time, with the backlog as a second input.
  *
- * Load pattern: demand above the room for seconds, from a burst or from
- * clients that repeat. What is begun now asks for work for a second more, so
- * the reaction is slow enough not to swing about.
+ * Load pattern: demand above the capacity for seconds, from a burst or from
+ * clients that retry. A request that is admitted now still makes calls up to a
+ * second later, so the controller reacts slowly enough not to oscillate.
  */
 
-/** What is kept between two updates. */
+/** State between two updates; the functions below change it in place. */
 export interface PressureState {
-  /** How hard to refuse, 0 to 1. */
+  /** Output: 0 (refuse nothing) to 1. */
   pressure: number;
-  /** Slow part of it. */
+  /** Integral term of the pressure. */
   integral: number;
+  /** Start of the window, in milliseconds. */
   windowStartMs: number;
-  /** Milliseconds of service that were asked for in the window. */
+  /** Service time of the requests that arrived in the window. */
   requestedMs: number;
-  /** Smoothed work asked for, as a part of the room. */
+  /** Smoothed ratio of the requested service time to the capacity. */
   demand: number;
-  /** Requests that arrived, and that ended without use, in the window. */
+  /** Requests that arrived in the window. */
   arrivedCount: number;
+  /** Requests that ended in the window without a useful answer. */
   lostCount: number;
-  /** Smoothed share of what was lost. */
+  /** Smoothed ratio of lost requests to arrivals, 0 to 1. */
   lostShare: number;
-  /** Least backlog that the window has seen, in milliseconds of all room. */
+  /** Smallest backlog in the window, in milliseconds of the whole capacity. */
   minBacklogMs: number;
-  /** Most requests that ran at a time in the window. */
+  /** Largest number of requests that ran at a time in the window. */
   maxRunning: number;
 }
 
-/** Room as it is now. */
+/** Capacity and load at the time of an update. */
 export interface PressureInputs {
   /** Requests that may run at a time. */
   readonly limit: number;
-  /** Requests that run. */
+  /** Requests that are running. */
   readonly running: number;
-  /** Time that all places together need for what waits. */
+  /** Time that all slots together need for the queued requests. */
   readonly backlogMs: number;
   readonly nowMs: number;
 }
 
-/** Loads are told as often. */
+/** Length of a window; nodes report their loads at the same interval. */
 const WINDOW_MS = 100;
-/** Weight of a window in the smoothed demand: about 300 ms. */
+/** Weight of a window in the smoothed values; smooths over about 300 ms. */
 const DEMAND_GAIN = 0.3;
-/** Part of the room that is to be asked for: waits grow steeply above. */
+/** Target ratio of demand to capacity; above it, waits grow steeply. */
 const TARGET_DEMAND = 0.95;
 /**
- * Part of the error that is added a second. A request asks for work for about
- * 0.7 s after it is begun, and a pressure of one takes some 0.9 of the room
- * off: a larger part makes it swing.
+ * Gain of the integral term per second. A request makes calls for about 0.7 s
+ * after it was admitted, and a pressure of 1 takes off demand of about 0.9 of
+ * the capacity, so a larger gain makes the pressure oscillate.
  */
 const INTEGRAL_GAIN_PER_S = 0.6;
 const PROPORTIONAL_GAIN = 0.2;
-/** The most urgent rank is only refused for what just happened. */
+/**
+ * Upper bound of the integral term. Requests of the most urgent rank are
+ * refused only by the other terms, which react to the latest windows.
+ */
 const MAX_INTEGRAL = 0.85;
-/** Larger errors, of a storm or of an idle second, count as these. */
+/** Bounds of the demand error, which a burst or an idle second would exceed. */
 const MAX_ERROR = 0.6;
 const MIN_ERROR = -0.6;
 /**
- * Pressure for each second of a backlog that never empties in a window: it is
- * what was begun too much, and reacts before the slow part does.
+ * Pressure per second of the smallest backlog in a window. That backlog is the
+ * work admitted in excess, and this term reacts before the integral term does.
  */
 const PRESSURE_PER_BACKLOG_S = 3;
 const MAX_BACKLOG_PRESSURE = 0.4;
-/** Part of that which is added to the error, so that no backlog stays. */
+/** Gain of the backlog pressure in the error, so that no backlog remains. */
 const BACKLOG_ERROR_GAIN = 0.75;
 
 /**
- * Error for each share of requests lost: one that is lost here stands for all
- * the work of its root, some eight calls.
+ * Gain of the share of lost requests in the error. It is above 1, as a request
+ * that is lost here wastes all the work of its root request, about eight calls.
  */
 const LOSS_ERROR_GAIN = 4;
 const MAX_LOSS_ERROR = 0.5;
 
 /**
- * With less of its places taken through a whole window a backend server is not
- * short of room, whatever was lost: its runs waited for what they call.
+ * A backend server that used less than this share of its slots in a window is
+ * not overloaded, even if requests were lost: they waited for downstream calls.
  */
 const MAX_IDLE_UTILIZATION = 0.5;
 /**
- * Part of the slow part that is left after such a window: roots are not refused
- * for a backend server whose places stand idle.
+ * Part of the integral term retained after such a window, so that no root
+ * requests are refused for a backend server with idle slots.
  */
 const IDLE_INTEGRAL_RATIO = 0.5;
 
-/** Creates the state of a backend server that is not short of room. */
+/** Creates the state of a backend server without overload. */
 export function createPressure(nowMs: number): PressureState {
   return {
     pressure: 0,
@@ -102,33 +107,33 @@
   };
 }
 
-/** Counts a request that arrived. */
+/** Records the arrival of a request with the expected service time. */
 export function recordRequest(state: PressureState, serviceMs: number): void {
   state.requestedMs += serviceMs;
   state.arrivedCount += 1;
 }
 
 /**
- * Counts a request that ended without use: its time was up, or its caller's,
- * while it waited or ran. Where time limits are short, that is the first sign
- * of overload, and all that was done for it is wasted.
+ * Records a request that ended without a useful answer: its deadline passed, or
+ * its caller left, while it was queued or running. With short timeouts this is
+ * the first sign of overload, and all work for the request is wasted.
  */
 export function recordLostRequest(state: PressureState): void {
   state.lostCount += 1;
 }
 
 /**
- * Takes back a request that the backend server did not run though it had room:
- * it asked for none. Where all members rejected half of their calls, requests
- * that would have fitted were refused for work that nobody did: 4 to 8 of 22
- * places were in use at a pressure of 0.85.
+ * Reverts the record of a request that the backend server rejected with free
+ * capacity, as it took no service time. Otherwise, with all members rejecting
+ * half of their calls, requests that fit were refused for work that was never
+ * done: 4 to 8 of 22 slots were in use at a pressure of 0.85.
  */
 export function recordRejection(state: PressureState, serviceMs: number): void {
   state.requestedMs = Math.max(0, state.requestedMs - serviceMs);
   state.arrivedCount = Math.max(0, state.arrivedCount - 1);
 }
 
-/** Notes the wait, and moves on where a window has ended. */
+/** Records the backlog, and updates the pressure at the end of a window. */
 export function updatePressure(
   state: PressureState,
   { limit, running, backlogMs, nowMs }: PressureInputs,
@@ -141,25 +146,25 @@
   }
   const demand = state.requestedMs / (Math.max(1, limit) * lengthMs);
   state.demand += (demand - state.demand) * DEMAND_GAIN;
-  const byBacklog = Math.min(
+  const backlogPressure = Math.min(
     MAX_BACKLOG_PRESSURE,
     state.minBacklogMs / 1_000 * PRESSURE_PER_BACKLOG_S,
   );
   const lostShare = state.lostCount / Math.max(1, state.arrivedCount);
   state.lostShare += (Math.min(1, lostShare) - state.lostShare) * DEMAND_GAIN;
-  const isIdle = byBacklog === 0 &&
+  const isIdle = backlogPressure === 0 &&
     state.maxRunning < limit * MAX_IDLE_UTILIZATION;
-  const byLoss = isIdle
+  const lossError = isIdle
     ? 0
     : Math.min(MAX_LOSS_ERROR, state.lostShare * LOSS_ERROR_GAIN);
   const error = clamp(state.demand - TARGET_DEMAND, MIN_ERROR, MAX_ERROR) +
-    byBacklog * BACKLOG_ERROR_GAIN + byLoss;
+    backlogPressure * BACKLOG_ERROR_GAIN + lossError;
   const change = error * INTEGRAL_GAIN_PER_S * lengthMs / 1_000;
-  const kept = state.integral * (isIdle ? IDLE_INTEGRAL_RATIO : 1);
-  state.integral = clamp(kept + change, 0, MAX_INTEGRAL);
+  const retained = state.integral * (isIdle ? IDLE_INTEGRAL_RATIO : 1);
+  state.integral = clamp(retained + change, 0, MAX_INTEGRAL);
   state.pressure = state.integral === 0
     ? 0
-    : clamp(state.integral + error * PROPORTIONAL_GAIN + byBacklog, 0, 1);
+    : clamp(state.integral + error * PROPORTIONAL_GAIN + backlogPressure, 0, 1);
   state.requestedMs = 0;
   state.arrivedCount = 0;
   state.lostCount = 0;
@@ -168,6 +173,6 @@
   state.maxRunning = running;
 }
 
-function clamp(value: number, least: number, most: number): number {
-  return Math.min(most, Math.max(least, value));
+function clamp(value: number, min: number, max: number): number {
+  return Math.min(max, Math.max(min, value));
 }
--- a/src/engine/admission/common/service_time.ts
+++ b/src/engine/admission/common/service_time.ts
@@ -27,7 +27,7 @@
 
 /** Number of answers per update of the baseline. */
 export const BASELINE_SAMPLES = 8;
-/** Time constant of a rise; long, so that a slowdown is not taken for normal. */
+/** Time constant of a rise; long, so that slowdowns do not raise it quickly. */
 const BASELINE_RISE_MS = 30_000;
 /** Time constant of a fall. */
 const BASELINE_FALL_MS = 5_000;
--- a/src/engine/admission/test/admission_level_test.ts
+++ b/src/engine/admission/test/admission_level_test.ts
@@ -1,4 +1,4 @@
-/** The level on the wire, at entry nodes, and the times to come back. */
+/** Admission levels: encoding, control and use at entry nodes; retry delays. */
 import { expect } from "chai";
 import fc from "fast-check";
 import {
@@ -49,12 +49,15 @@
 }
 
 describe("admission level", () => {
-  it("comes back whole from its header", () => {
+  it("decodes to the level that was encoded", () => {
     fc.assert(
-      fc.property(fc.double({ min: 0.001, max: 10, noNaN: true }), (place) => {
-        const level = createLevel(place)!;
-        expect(decodeLevel(encodeLevel(level))).to.deep.equal(level);
-      }),
+      fc.property(
+        fc.double({ min: 0.001, max: 10, noNaN: true }),
+        (position) => {
+          const level = createLevel(position)!;
+          expect(decodeLevel(encodeLevel(level))).to.deep.equal(level);
+        },
+      ),
     );
     expect(encodeLevel(LEVEL)).to.equal("i=3, h=2147483648");
     for (const bad of ["", "i=3", "i=10, h=1", "i=3, h=-1", "{", "i=x, h=y"]) {
@@ -71,24 +74,24 @@
     expect(isBelow(9, 0)).to.equal(false);
   });
 
-  it("draws the hash of a caller anew each period, not before", () => {
-    const draw = (nowMs: number) =>
+  it("changes the hash of a caller once per period", () => {
+    const compute = (nowMs: number) =>
       computeAdmissionHash({ key: "caller", share: 1, nowMs });
-    expect(draw(HASH_PERIOD_MS - 1)).to.equal(draw(0));
-    expect(draw(HASH_PERIOD_MS)).not.to.equal(draw(0));
+    expect(compute(HASH_PERIOD_MS - 1)).to.equal(compute(0));
+    expect(compute(HASH_PERIOD_MS)).not.to.equal(compute(0));
   });
 
-  it("refuses early what most would refuse, but for some probes", () => {
+  it("refuses early what half of the members refuse, except some probes", () => {
     const refused = countRefused(createView(["a", "b"]), 3);
     expect(refused).to.be.within(960, 995);
     expect(countRefused(createView(["a", "b"]), 9)).to.equal(0);
     expect(countRefused(createView(["a"]), 3)).to.equal(0);
   });
 
-  it("forgets a level that was cleared or not renewed", () => {
+  it("drops a level that was removed or has expired", () => {
     const view = createView(["a", "b"]);
-    const later = NOW_MS + LEVEL_TTL_MS;
-    expect(countRefused(view, 3, later)).to.equal(0);
+    const expiredMs = NOW_MS + LEVEL_TTL_MS;
+    expect(countRefused(view, 3, expiredMs)).to.equal(0);
     const report = { nodeId: "a", kind: "k", level: undefined };
     expect(countRefused(recordLevel(view, report, NOW_MS), 3)).to.equal(0);
   });
@@ -105,24 +108,24 @@
 describe("level control", () => {
   const arrived = [3, 3, 3, 9].reduce(recordArrival, INITIAL_LEVEL_CONTROL);
 
-  it("takes a burst for no overload, only a queue that stands", () => {
+  it("raises no level for a burst, only for a standing queue", () => {
     const refused = recordOverload(arrived, 3);
     expect(updateLevel(refused, false).position).to.equal(0);
     expect(updateLevel(refused, true).position).to.be.within(3, 4);
   });
 
   it("cuts nothing above the importances that were refused", () => {
-    const shed = { ...INITIAL_LEVEL_CONTROL, place: 3.99 };
-    const passing = recordArrival(recordArrival(shed, 9), 9);
-    const low = updateLevel(recordOverload(passing, 3), true);
-    const high = updateLevel(recordOverload(passing, 9), true);
+    const control = { ...INITIAL_LEVEL_CONTROL, place: 3.99 };
+    const arrivals = recordArrival(recordArrival(control, 9), 9);
+    const low = updateLevel(recordOverload(arrivals, 3), true);
+    const high = updateLevel(recordOverload(arrivals, 9), true);
     expect(low.position).to.be.at.most(4);
     expect(high.position).to.be.greaterThan(9);
   });
 });
 
 describe("retry after", () => {
-  it("spreads callers, wider under pressure, within bounds", () => {
+  it("spreads the delays, wider under pressure, within bounds", () => {
     const ids = Array.from({ length: 1_000 }, (_, n) => `root-${n}`);
     const count = (pressure: number, second: number) =>
       ids.filter((id) =>
--- a/src/engine/admission/test/admission_reducer_test.ts
+++ b/src/engine/admission/test/admission_reducer_test.ts
@@ -1,4 +1,4 @@
-/** What runs, waits and goes at one backend server. */
+/** Which requests run, are queued and are refused at one backend server. */
 import { expect } from "chai";
 import fc from "fast-check";
 import { hashText } from "../../../base/common/hash.ts";
@@ -20,7 +20,7 @@
   it("refuses no transfer while a lookup runs from the queue after it", () => {
     const server = new SingleServer(10);
     server.serviceMs = () => 20;
-    // Capacity is 0.5 a millisecond; transfers alone are 1.2 times of it.
+    // Capacity: 0.5 requests per ms. Transfers alone are 1.2 times that.
     const queuedAt = new Map<string, number>();
     const draw = (n: number) => {
       const row = n % 10 < 3 ? TRANSFER : LOOKUP;
@@ -28,10 +28,10 @@
       return createRequest(`${row.kind}-${n}`, row);
     };
     server.pass(3_000, createLoad(server, 2, draw));
-    const lookupRuns = server.seen.filter(({ effect }) =>
+    const lookupRuns = server.recorded.filter(({ effect }) =>
       effect.type === "RunRequest" && effect.attemptId.startsWith("lookup")
     );
-    const wrong = server.seen.filter(({ effect, atMs }) =>
+    const inverted = server.recorded.filter(({ effect, atMs }) =>
       effect.type === "RefuseRequest" &&
       effect.attemptId.startsWith("transfer") &&
       lookupRuns.some((run) =>
@@ -41,7 +41,7 @@
     const refusedTransfers = [...server.refused.keys()].filter((id) =>
       id.startsWith("transfer")
     );
-    expect(wrong).to.deep.equal([]);
+    expect(inverted).to.deep.equal([]);
     expect(refusedTransfers.length).to.be.greaterThan(0);
   });
 
@@ -56,7 +56,7 @@
     const refused = [...server.refused.keys()];
     expect(refused.filter((id) => id.startsWith("transfer"))).to.be.empty;
     expect(refused.length).to.be.greaterThan(1_000);
-    // The backend server is kept at work all along: 0.5 a millisecond.
+    // The backend server is always busy, at 0.5 requests per ms.
     expect(server.run.length).to.be.greaterThan(0.95 * 1_500);
   });
 
@@ -64,7 +64,7 @@
     const server = new SingleServer(4);
     server.serviceMs = () => 64;
     const row = createRow({ timeoutMs: 2_000 });
-    // 4 / 64 a millisecond, each millisecond drawn by itself.
+    // 4 / 64 requests per ms on average, drawn independently for each ms.
     let sent = 0;
     server.pass(10_000, (nowMs) => {
       if (hashText(`arrival-${nowMs}`) < 2 ** 32 / 16) {
@@ -73,7 +73,7 @@
     });
     expect(sent).to.be.within(600, 650);
     expect(server.refused.size / sent).to.be.lessThan(0.05);
-    // The queue was never long, so no entry node need refuse anything.
+    // The queue was never long, so that entry nodes need not refuse requests.
     expect(server.state.level.position).to.equal(0);
     expect([...server.refused.values()]).not.to.include("level");
   });
@@ -109,7 +109,7 @@
     expect(kinds).to.deep.equal(["transfer", "transfer", "lookup", "lookup"]);
   });
 
-  it("gives up the least important first where the wait is long", () => {
+  it("refuses the least important request first when waits are long", () => {
     const server = new SingleServer(1);
     server.arrive(createRequest("stuck", LOOKUP));
     server.arrive(createRequest("transfer", TRANSFER));
@@ -119,7 +119,7 @@
     expect(effects.map((effect) => effect.attemptId)).to.deep.equal(["lookup"]);
   });
 
-  it("lets invested work wait longer than a root request", () => {
+  it("lets a downstream call wait longer than a root request", () => {
     const server = new SingleServer(1);
     server.arrive(createRequest("first", LOOKUP));
     server.nowMs += 20;
@@ -136,7 +136,7 @@
     expect(later.map((effect) => effect.attemptId)).to.deep.equal(["depth-1"]);
   });
 
-  it("lets a row's own queue wait while the backend server has room", () => {
+  it("lets the queue of a full row wait while the server has capacity", () => {
     const server = new SingleServer(4);
     const narrow = createRow({ kind: "narrow", concurrency: 1, queue: 2 });
     server.arrive(createRequest("runs", narrow));
@@ -147,7 +147,7 @@
     expect(server.run).to.deep.equal(["runs", "waits"]);
   });
 
-  it("prefers the upper hashes, the same in each service", () => {
+  it("prefers higher hashes, which are the same in each service", () => {
     const server = new SingleServer(1);
     server.arrive(createRequest("first", LOOKUP));
     for (const admissionHash of [5, 9, 7]) {
@@ -159,7 +159,7 @@
     expect(server.run).to.deep.equal(["first", "hash-9", "hash-7"]);
   });
 
-  it("prefers invested work where importance and hash are equal", () => {
+  it("prefers greater depth where importance and hash are equal", () => {
     const server = new SingleServer(1);
     server.arrive(createRequest("first", LOOKUP));
     for (const depth of [1, 4, 2]) {
@@ -190,7 +190,7 @@
     expect(heavy / server.run.length).to.be.within(0.7, 0.8);
   });
 
-  it("takes turns by weight in the queue", () => {
+  it("serves the kinds in the queue by weight", () => {
     const server = new SingleServer(12);
     const rows = [
       createRow({ kind: "light", weight: 1 }),
@@ -215,7 +215,7 @@
     expect(turns.slice(0, 4)).to.include("light");
   });
 
-  it("refuses what the time left can't cover, on arrival and in the queue", () => {
+  it("refuses what can't meet its deadline, on arrival and in the queue", () => {
     const server = new SingleServer(2);
     for (let n = 0; n < 10; n += 1) {
       server.arrive(createRequest(`warm-${n}`, LOOKUP));
@@ -238,7 +238,7 @@
     expect(server.refused.get("turn")).to.equal("deadline");
   });
 
-  it("runs one of a kind whose estimate is longer than the time left", () => {
+  it("runs one request of a kind that is expected to miss its deadline", () => {
     const server = new SingleServer(2);
     server.arrive(createRequest("slow", LOOKUP));
     server.nowMs += 5_000;
@@ -248,7 +248,7 @@
     expect(server.run).to.include("probe");
   });
 
-  it("keeps the wait short in a queue that doesn't empty", () => {
+  it("keeps the wait short in a queue that never empties", () => {
     const server = new SingleServer(2);
     server.serviceMs = () => 20;
     server.arrive(createRequest("stuck", createRow({ kind: "batch" })));
@@ -261,13 +261,13 @@
     );
     const { queue } = server.state;
     const oldest = Math.min(...queue.map((request) => request.queuedAtMs));
-    // Four for each slot: one service time each, as one slot is stuck.
+    // At most 4 per slot; the other slot runs them in one service time each.
     expect(queue.length).to.be.within(1, 8);
     expect(server.nowMs - oldest).to.be.at.most(200);
     expect([...server.refused.values()]).to.include("queue_wait");
   });
 
-  it("keeps to the rate, the concurrency and the queue of a row", () => {
+  it("enforces the rate, the concurrency and the queue limit of a row", () => {
     const server = new SingleServer(100);
     const rated = createRow({ kind: "rated", rate: 100 });
     server.serviceMs = () => 1;
@@ -285,11 +285,11 @@
       server.arrive(createRequest(`narrow-${n}`, narrow));
     }
     const ran = server.run.filter((id) => id.startsWith("narrow"));
-    const given = [...server.refused.keys()].filter((id) =>
+    const refused = [...server.refused.keys()].filter((id) =>
       id.startsWith("narrow")
     );
     expect(ran).to.deep.equal(["narrow-0", "narrow-1"]);
-    expect(given).to.have.length(2);
+    expect(refused).to.have.length(2);
   });
 
   it("ramps up after the start, and after an outage", () => {
@@ -327,7 +327,7 @@
     });
     const both = [...shed[0]!].filter((n) => shed[1]!.has(n));
     expect(both.length / shed[0]!.size).to.be.greaterThan(0.9);
-    // What runs is the upper part of the hashes, not any.
+    // The requests that run are those with the upper hashes.
     const upper = both.filter((n) => (n * 2_654_435_761) % 1_000 > 600);
     expect(upper.length / both.length).to.be.greaterThan(0.9);
   });
@@ -344,7 +344,7 @@
     expect(server.state.level.position).to.equal(0);
   });
 
-  it("gives every request exactly one decision and keeps nothing", () => {
+  it("decides on each request exactly once, and retains no state", () => {
     const importance = fc.integer({ min: 0, max: 9 });
     const arrival = fc.record({
       type: fc.constant("arrive" as const),
@@ -409,10 +409,10 @@
           server.finish([...server.state.running.keys()][0]!);
         }
         server.send({ type: "Ticked" });
-        const told = server.seen.map(({ effect }) => effect.attemptId);
-        expect(new Set(told).size).to.equal(told.length);
+        const decided = server.recorded.map(({ effect }) => effect.attemptId);
+        expect(new Set(decided).size).to.equal(decided.length);
         for (const id of decisions.keys()) {
-          expect(told.includes(id) !== withdrawn.has(id), id).to.equal(true);
+          expect(decided.includes(id) !== withdrawn.has(id), id).to.equal(true);
         }
         expect(server.state.queue).to.be.empty;
         server.nowMs += 700_000;
--- a/src/engine/admission/test/concurrency_limit_test.ts
+++ b/src/engine/admission/test/concurrency_limit_test.ts
@@ -1,4 +1,4 @@
-/** The limit follows latency, each kind against its own baseline. */
+/** The concurrency limit follows latency relative to the baseline per kind. */
 import { expect } from "chai";
 import { computeCapacity } from "../common/admission_capacity.ts";
 import { MIN_LIMIT } from "../common/concurrency_limit.ts";
@@ -17,7 +17,7 @@
 }
 
 describe("concurrency limit", () => {
-  it("falls in a slowdown, not below its floor, and recovers", () => {
+  it("falls in a slowdown to its minimum at maxRunning, and recovers", () => {
     const server = new SingleServer(50);
     const load = createLoad(
       server,
@@ -35,7 +35,7 @@
     expect(readCapacity(server)).to.equal(50);
   });
 
-  it("takes no kind that is long by nature for a slowdown", () => {
+  it("does not fall for a kind with a long service time", () => {
     const server = new SingleServer(50);
     server.serviceMs = ({ row }) => row.kind === "batch" ? 1_000 : 10;
     server.pass(
@@ -54,7 +54,7 @@
     expect(readCapacity(server)).to.equal(50);
   });
 
-  it("takes no delay of a few milliseconds for a slowdown", () => {
+  it("does not fall for a delay of a few milliseconds", () => {
     const server = new SingleServer(50);
     const load = createLoad(server, 1, (n) => createRequest(`${n}`, LOOKUP));
     server.serviceMs = () => 1;
@@ -64,20 +64,20 @@
     expect(readCapacity(server)).to.equal(50);
   });
 
-  it("keeps its floor where the ramp would leave less", () => {
+  it("keeps its minimum where the ramp allows fewer slots", () => {
     expect(readCapacity(new SingleServer(3, true))).to.equal(MIN_LIMIT);
     expect(readCapacity(new SingleServer(1, true))).to.equal(1);
   });
 
-  it("never goes over the announced slots", () => {
+  it("never exceeds the announced slots", () => {
     const server = new SingleServer(3);
     server.serviceMs = () => 10;
-    let most = 0;
+    let maxRunning = 0;
     const load = createLoad(server, 1, (n) => createRequest(`${n}`, LOOKUP));
     server.pass(1_000, () => {
       load();
-      most = Math.max(most, server.state.running.size);
+      maxRunning = Math.max(maxRunning, server.state.running.size);
     });
-    expect(most).to.equal(3);
+    expect(maxRunning).to.equal(3);
   });
 });
--- a/src/engine/admission/test/single_server.ts
+++ b/src/engine/admission/test/single_server.ts
@@ -1,4 +1,4 @@
-/** A single backend server under load, in fake time. */
+/** Simulates a single backend server under load. */
 import { hashText } from "../../../base/common/hash.ts";
 import {
   createAdmission,
@@ -36,7 +36,7 @@
   return { ...ROW, ...change };
 }
 
-/** Creates a request of `row`; its hash is that of its id. */
+/** Creates a request of `row`, with the hash of its id. */
 export function createRequest(
   attemptId: string,
   row: TableRow,
@@ -53,24 +53,24 @@
   };
 }
 
-/** An effect and when it came. */
-export interface SeenEffect {
+/** An effect, and when it was emitted. */
+export interface RecordedEffect {
   readonly atMs: number;
   readonly effect: AdmissionEffect;
 }
 
-/** Feeds an admission, runs what it runs, and keeps what it decided. */
+/** Feeds the admission reducer, simulates the runs, and records the effects. */
 export class SingleServer {
   state: AdmissionState;
   nowMs: number;
-  readonly seen: SeenEffect[] = [];
-  /** Service time of each run; undefined: runs until `finish`. */
+  readonly recorded: RecordedEffect[] = [];
+  /** Returns the service time of a run; undefined: it runs until `finish`. */
   serviceMs: (request: AdmissionRequest) => number | undefined = () =>
     undefined;
   readonly #requests = new Map<string, AdmissionRequest>();
   readonly #ends = new Map<string, number>();
 
-  /** Starts at full slots unless `isCold`. */
+  /** Skips the ramp unless `isCold`. */
   constructor(slots: number, isCold = false) {
     this.state = createAdmission(slots);
     this.nowMs = 1_000_000;
@@ -78,12 +78,12 @@
     this.nowMs += isCold ? 0 : RAMP_MS;
   }
 
-  /** Feeds one event and returns what was decided on it. */
+  /** Applies one event, and returns its effects. */
   send(event: AdmissionEvent): readonly AdmissionEffect[] {
     const { state, effects } = reduceAdmission(this.state, event, this.nowMs);
     this.state = state;
     for (const effect of effects) {
-      this.seen.push({ atMs: this.nowMs, effect });
+      this.recorded.push({ atMs: this.nowMs, effect });
       const request = this.#requests.get(effect.attemptId)!;
       const ms = effect.type === "RunRequest"
         ? this.serviceMs(request)
@@ -110,7 +110,7 @@
     return this.send({ type: "RequestFinished", attemptId, result });
   }
 
-  /** Lets time pass by the millisecond; `arrive` may add requests. */
+  /** Advances the time by `ms`; `arrive` is called once per millisecond. */
   pass(ms: number, arrive: (nowMs: number) => void = () => {}): void {
     const endMs = this.nowMs + ms;
     while (this.nowMs < endMs) {
@@ -128,16 +128,16 @@
     }
   }
 
-  /** Ids run, in order. */
+  /** Ids of the requests that were run, in order. */
   get run(): readonly string[] {
-    return this.seen.filter(({ effect }) => effect.type === "RunRequest")
+    return this.recorded.filter(({ effect }) => effect.type === "RunRequest")
       .map(({ effect }) => effect.attemptId);
   }
 
-  /** Reasons of refusal by id. */
+  /** Reasons of the refusals, by attempt id. */
   get refused(): ReadonlyMap<string, string> {
     return new Map(
-      this.seen.flatMap(({ effect }) =>
+      this.recorded.flatMap(({ effect }) =>
         effect.type === "RefuseRequest"
           ? [[effect.attemptId, effect.reason] as const]
           : []
@@ -146,7 +146,7 @@
   }
 }
 
-/** Sends `perMs` requests a millisecond with ids `prefix-N`, drawn in turn. */
+/** Creates a load of `perMs` requests per millisecond, created by `draw`. */
 export function createLoad(
   server: SingleServer,
   perMs: number,
