--- a/src/engine/admission/test/admission_level_test.ts
+++ b/src/engine/admission/test/admission_level_test.ts
@@ -81,7 +81,7 @@
     expect(compute(HASH_PERIOD_MS)).not.to.equal(compute(0));
   });
 
-  it("refuses early what half of the members refuse, except some probes", () => {
+  it("refuses early what half of the members refuse, except probes", () => {
     const refused = countRefused(createView(["a", "b"]), 3);
     expect(refused).to.be.within(960, 995);
     expect(countRefused(createView(["a", "b"]), 9)).to.equal(0);
@@ -115,7 +115,7 @@
   });
 
   it("cuts nothing above the importances that were refused", () => {
-    const control = { ...INITIAL_LEVEL_CONTROL, place: 3.99 };
+    const control = { ...INITIAL_LEVEL_CONTROL, position: 3.99 };
     const arrivals = recordArrival(recordArrival(control, 9), 9);
     const low = updateLevel(recordOverload(arrivals, 3), true);
     const high = updateLevel(recordOverload(arrivals, 9), true);
--- a/src/engine/admission/test/call_simulation.ts
+++ b/src/engine/admission/test/call_simulation.ts
@@ -1,25 +1,26 @@
-/** Call trees of known shape, played over the nodes of several services. */
+/** Simulates call trees of known shape on the nodes of several services. */
 import { createRandom } from "../../../base/test/seeded_random.ts";
 
-/** What requests of a route do. */
+/** Behaviour of the requests of a route. */
 export interface SimulatedRoute {
   readonly service: string;
-  /** Time of the own work, exponentially distributed. */
+  /** Mean time of a run without its calls, exponentially distributed. */
   readonly workMs: number;
-  /** Routes that it calls, one after the other. */
+  /** Routes that a run calls, one schedule the other. */
   readonly calls: readonly string[];
-  /** Most time that a call of this route is given. */
+  /** Maximum timeout of a call of this route. */
   readonly limitMs: number;
-  /** Requests of callers a second, spread over all nodes. */
+  /** Callers' requests per second, spread over all nodes. */
   readonly rootsPerS: number;
 }
 
-/** A run or a call as the node sees it, and who made it in truth. */
+/** A run or a call that a node observes, and the true origin of the call. */
 export type SimulatedEvent =
   | {
     readonly type: "Run";
     readonly node: number;
     readonly route: string;
+    /** 1: begins; -1: ends. */
     readonly change: 1 | -1;
     readonly id: number;
     readonly deadlineMs: number;
@@ -29,23 +30,23 @@
     readonly node: number;
     readonly route: string;
     readonly service: string;
-    /** Node whose backend server runs it. */
+    /** Node whose backend server runs the call. */
     readonly target: number;
     readonly expiresAtMs: number;
-    /** Route of the run that made it; undefined for a caller's own. */
+    /** Route of the run that made the call; undefined if a caller made it. */
     readonly parent: string | undefined;
   };
 
-/** What is played. */
+/** Inputs of a simulation. */
 export interface SimulationOptions {
   readonly routes: Readonly<Record<string, SimulatedRoute>>;
-  /** Nodes of each service. */
+  /** Number of nodes by service. */
   readonly nodes: Readonly<Record<string, number>>;
   readonly seed: number;
   readonly untilMs: number;
-  /** Whether a call has no more time than its parent. */
+  /** Whether the deadline of a call is bounded by that of its parent. */
   readonly isClamped: boolean;
-  /** Factor of the callers' rate at a time. */
+  /** Computes the factor of the callers' rate; 1 if undefined. */
   readonly computeSurge?: (nowMs: number) => number;
   readonly observe: (event: SimulatedEvent, nowMs: number) => void;
 }
@@ -58,24 +59,24 @@
     .flatMap(([service, count]) => Array<string>(count).fill(service));
 }
 
-/** Plays requests of callers and all calls below them. */
-export function playCalls(options: SimulationOptions): void {
+/** Simulates callers' requests and all calls made for them. */
+export function simulateCalls(options: SimulationOptions): void {
   const { routes, untilMs, isClamped, observe } = options;
-  const draw = createRandom(options.seed);
+  const random = createRandom(options.seed);
   const services = listNodeServices(options.nodes);
-  const due = new Map<number, (() => void)[]>();
+  const stepsByTime = new Map<number, (() => void)[]>();
   let nowMs = 0;
   let nextId = 1;
 
-  function after(delayMs: number, step: () => void): void {
+  function schedule(delayMs: number, step: () => void): void {
     const at = nowMs + Math.max(1, Math.round(delayMs));
-    const steps = due.get(at) ?? [];
-    due.set(at, steps);
+    const steps = stepsByTime.get(at) ?? [];
+    stepsByTime.set(at, steps);
     steps.push(step);
   }
 
   function drawTime(meanMs: number): number {
-    return -Math.log(1 - draw()) * meanMs;
+    return -Math.log(1 - random()) * meanMs;
   }
 
   function call(
@@ -85,14 +86,16 @@
       readonly parent: string | undefined;
       readonly endsAtMs: number;
     },
-    done: () => void,
+    onEnd: () => void,
   ): void {
     const { service, limitMs } = routes[name]!;
     const members = services
-      .flatMap((found, node) => found === service ? [node] : []);
-    const target = members[Math.floor(draw() * members.length)]!;
-    const ownMs = nowMs + limitMs * (0.85 + draw() * 0.15);
-    const deadlineMs = isClamped ? Math.min(ownMs, from.endsAtMs) : ownMs;
+      .flatMap((candidate, node) => candidate === service ? [node] : []);
+    const target = members[Math.floor(random() * members.length)]!;
+    const ownDeadlineMs = nowMs + limitMs * (0.85 + random() * 0.15);
+    const deadlineMs = isClamped
+      ? Math.min(ownDeadlineMs, from.endsAtMs)
+      : ownDeadlineMs;
     observe({
       type: "Call",
       node: from.node,
@@ -102,43 +105,43 @@
       expiresAtMs: deadlineMs,
       parent: from.parent,
     }, nowMs);
-    after(2, () => run(name, target, deadlineMs, done));
+    schedule(2, () => run(name, target, deadlineMs, onEnd));
   }
 
   function run(
     name: string,
     node: number,
     deadlineMs: number,
-    done: () => void,
+    onEnd: () => void,
   ): void {
     const { workMs, calls } = routes[name]!;
     const id = nextId++;
-    const note = (change: 1 | -1) =>
+    const report = (change: 1 | -1) =>
       observe(
         { type: "Run", node, route: name, change, id, deadlineMs },
         nowMs,
       );
-    const parts = calls.length + 1;
-    const advance = (at: number) =>
-      after(drawTime(workMs / parts), () => {
-        const next = calls[at];
+    const partCount = calls.length + 1;
+    const advance = (index: number) =>
+      schedule(drawTime(workMs / partCount), () => {
+        const next = calls[index];
         if (next === undefined) {
-          note(-1);
-          after(2, done);
+          report(-1);
+          schedule(2, onEnd);
           return;
         }
         const from = { node, parent: name, endsAtMs: deadlineMs };
-        call(next, from, () => advance(at + 1));
+        call(next, from, () => advance(index + 1));
       });
-    note(1);
+    report(1);
     advance(0);
   }
 
   function arrive(name: string): void {
     const { rootsPerS } = routes[name]!;
     const surge = options.computeSurge?.(nowMs) ?? 1;
-    after(drawTime(1_000 / (rootsPerS * surge)), () => {
-      const node = Math.floor(draw() * services.length);
+    schedule(drawTime(1_000 / (rootsPerS * surge)), () => {
+      const node = Math.floor(random() * services.length);
       call(name, { node, parent: undefined, endsAtMs: Infinity }, () => {});
       arrive(name);
     });
@@ -150,7 +153,7 @@
     }
   }
   for (nowMs = 0; nowMs <= untilMs; nowMs += 1) {
-    due.get(nowMs)?.forEach((step) => step());
-    due.delete(nowMs);
+    stepsByTime.get(nowMs)?.forEach((step) => step());
+    stepsByTime.delete(nowMs);
   }
 }
--- a/src/engine/admission/test/call_tree_test.ts
+++ b/src/engine/admission/test/call_tree_test.ts
@@ -1,14 +1,14 @@
-/** Calls of backend servers, told from callers' in trees of known shape. */
+/** Detects the calls of backend servers in simulated call trees. */
 import { expect } from "chai";
 import { CallerSpread, SpreadCounter } from "../common/caller_spread.ts";
 import { CallTree } from "../common/call_tree.ts";
 import { CoincidenceCounter } from "../common/coincidence.ts";
-import { listNodeServices, playCalls } from "./call_simulation.ts";
+import { listNodeServices, simulateCalls } from "./call_simulation.ts";
 import type { SimulatedRoute, SimulationOptions } from "./call_simulation.ts";
 
 const REPORT_MS = 500;
 
-/** Two roots with a shared way, and two that call nobody. */
+/** Two root routes that share callees, and two without calls. */
 const NOTICES: Readonly<Record<string, SimulatedRoute>> = {
   browse: createRoute("archive", 60, 5_000, 340, ["index"]),
   lodge: createRoute("lodgement", 78, 5_000, 140, ["roster", "roster"]),
@@ -20,7 +20,7 @@
 };
 const NOTICE_NODES = { archive: 4, lodgement: 3, dispatch: 3, hazard: 3 };
 
-/** Seven levels below each other. */
+/** A chain of seven calls. */
 const CHAIN = Object.fromEntries(
   Array.from({ length: 7 }, (_, level) => [
     `r${level}`,
@@ -47,21 +47,22 @@
   return { service, workMs, limitMs, rootsPerS, calls };
 }
 
-interface Tally {
-  /** Share of the calls taken for a backend server's that are. */
+/** How well calls of backend servers were detected. */
+interface Detection {
+  /** Share of the detected calls that backend servers made. */
   readonly precision: number;
-  /** Share of the backend servers' calls that are taken for such. */
+  /** Share of the backend servers' calls that were detected. */
   readonly recall: number;
-  /** Parent and callee, at any node, at the end. */
+  /** Edges `parent>callee` that any node lists at the end. */
   readonly edges: ReadonlySet<string>;
 }
 
-/** Judges the calls of the last second of a play. */
-function judge(
+/** Evaluates the detection in the last second of a simulation. */
+function evaluate(
   options: Omit<SimulationOptions, "observe" | "seed" | "isClamped"> & {
     readonly isClamped?: boolean;
   },
-): Tally {
+): Detection {
   const services = listNodeServices(options.nodes);
   const counts = new Map(Object.entries(options.nodes));
   const nodes = services.map((service) => {
@@ -71,18 +72,18 @@
     const countNodes = () => counts;
     const inputs = { coincidences, spread, getService, countNodes };
     const tree = new CallTree(inputs);
-    return { coincidences, spread, tree, gate: new SpreadCounter() };
+    return { coincidences, spread, tree, counter: new SpreadCounter() };
   });
   let reportedAtMs = 0;
-  const tally = { right: 0, wrong: 0, missed: 0 };
-  playCalls({
+  const tally = { detected: 0, mistaken: 0, missed: 0 };
+  simulateCalls({
     isClamped: false,
     ...options,
     seed: 7,
     observe: (event, nowMs) => {
       if (nowMs - reportedAtMs >= REPORT_MS) {
         reportedAtMs = nowMs;
-        const reports = nodes.map(({ gate }) => gate.createReport(nowMs));
+        const reports = nodes.map(({ counter }) => counter.createReport(nowMs));
         nodes.forEach(({ spread }) =>
           reports.forEach((report, i) =>
             spread.receiveReport(`${i}`, report, nowMs)
@@ -96,10 +97,10 @@
       }
       const { route, service, target, parent } = event;
       const isNested = node.tree.recordCall({ route, service }, nowMs);
-      nodes[target]!.gate.recordCall(route, services[event.node]!, nowMs);
+      nodes[target]!.counter.recordCall(route, services[event.node]!, nowMs);
       if (nowMs > options.untilMs - 1_000) {
-        tally.right += Number(isNested && parent !== undefined);
-        tally.wrong += Number(isNested && parent === undefined);
+        tally.detected += Number(isNested && parent !== undefined);
+        tally.mistaken += Number(isNested && parent === undefined);
         tally.missed += Number(!isNested && parent !== undefined);
       }
     },
@@ -109,10 +110,10 @@
       callees.map(({ route }) => `${parent}>${route}`)
     )
   );
-  const { right, wrong, missed } = tally;
+  const { detected, mistaken, missed } = tally;
   return {
-    precision: right / Math.max(1, right + wrong),
-    recall: right / Math.max(1, right + missed),
+    precision: detected / Math.max(1, detected + mistaken),
+    recall: detected / Math.max(1, detected + missed),
     edges: new Set(edges),
   };
 }
@@ -122,27 +123,27 @@
 
   for (const untilMs of [2_000, 4_000, 10_000]) {
     it(`is known after ${untilMs / 1_000 - 1} s, with limits of their own`, () => {
-      const { precision, recall } = judge({ ...notices, untilMs });
+      const { precision, recall } = evaluate({ ...notices, untilMs });
       expect(precision).to.be.at.least(0.98);
       expect(recall).to.be.at.least(0.98);
     });
   }
 
   it("is known where calls expire with their parents", () => {
-    const found = judge({ ...notices, untilMs: 4_000, isClamped: true });
-    expect(found.precision).to.be.at.least(0.98);
-    expect(found.recall).to.be.at.least(0.98);
+    const detection = evaluate({ ...notices, untilMs: 4_000, isClamped: true });
+    expect(detection.precision).to.be.at.least(0.98);
+    expect(detection.recall).to.be.at.least(0.98);
   });
 
-  it("is known at the front of a burst", () => {
+  it("is known at the start of a burst", () => {
     const computeSurge = (nowMs: number) => nowMs < 2_000 ? 1 : 2;
-    const found = judge({ ...notices, untilMs: 3_000, computeSurge });
-    expect(found.precision).to.be.at.least(0.98);
-    expect(found.recall).to.be.at.least(0.98);
+    const detection = evaluate({ ...notices, untilMs: 3_000, computeSurge });
+    expect(detection.precision).to.be.at.least(0.98);
+    expect(detection.recall).to.be.at.least(0.98);
   });
 
   it("has the edges that are there, and no others", () => {
-    const { edges } = judge({ ...notices, untilMs: 10_000 });
+    const { edges } = evaluate({ ...notices, untilMs: 10_000 });
     expect([...edges].sort()).to.deep.equal([
       "browse>index",
       "index>roster",
@@ -151,28 +152,28 @@
     ]);
   });
 
-  it("has no edges of routes that are asked for now and then", () => {
+  it("has no edges of rarely used routes", () => {
     const rare = createRoute("dispatch", 42, 600, 0.5);
     const routes = { ...NOTICES, rare };
-    const { edges } = judge({ ...notices, routes, untilMs: 6_000 });
+    const { edges } = evaluate({ ...notices, routes, untilMs: 6_000 });
     expect([...edges].filter((edge) => edge.startsWith("rare")))
       .to.deep.equal([]);
   });
 
   it("is known seven levels deep", () => {
     const chain = { routes: CHAIN, nodes: CHAIN_NODES, untilMs: 6_000 };
-    const { precision, recall, edges } = judge(chain);
+    const { precision, recall, edges } = evaluate(chain);
     expect(precision).to.be.at.least(0.98);
     expect(recall).to.be.at.least(0.98);
     expect(edges.size).to.equal(6);
   });
 
-  it("holds where callers ask for an inner route too, now and then", () => {
+  it("is known where callers send requests of an inner route too", () => {
     const map = { ...NOTICES["map"]!, rootsPerS: 100 };
     const routes = { ...NOTICES, map };
-    const found = judge({ ...notices, routes, untilMs: 6_000 });
-    expect(found.recall).to.be.at.least(0.95);
-    expect(found.precision).to.be.at.least(0.95);
+    const detection = evaluate({ ...notices, routes, untilMs: 6_000 });
+    expect(detection.recall).to.be.at.least(0.95);
+    expect(detection.precision).to.be.at.least(0.95);
   });
 
   it("is known where all services call one", () => {
@@ -185,12 +186,12 @@
       ]),
     );
     const permit = createRoute("permits", 5, 500, 0);
-    const found = judge({
+    const detection = evaluate({
       routes: { ...routes, permit },
       nodes: { ...NOTICE_NODES, permits: 3 },
       untilMs: 12_000,
     });
-    expect(found.precision).to.be.at.least(0.95);
-    expect(found.recall).to.be.at.least(0.85);
+    expect(detection.precision).to.be.at.least(0.95);
+    expect(detection.recall).to.be.at.least(0.85);
   });
 });
--- a/src/engine/admission/test/overload_pressure_test.ts
+++ b/src/engine/admission/test/overload_pressure_test.ts
@@ -21,8 +21,8 @@
 }
 
 /**
- * Simulates a demand, as a ratio to the capacity, up to `untilMs`. Two thirds of
- * it are of the least urgent of three ranks.
+ * Simulates a demand, as a ratio to the capacity, up to `untilMs`. Two thirds
+ * of it are of the least urgent of three ranks.
  */
 function simulate(
   computeDemand: (nowMs: number) => number,
@@ -42,7 +42,7 @@
     updatePressure(state, {
       limit: LIMIT,
       running,
-      backlogMs: backlogMs,
+      backlogMs,
       nowMs,
     });
     admitted.push(share);
--- a/src/engine/retry/common/resend_budget.ts
+++ b/src/engine/retry/common/resend_budget.ts
@@ -1,36 +1,45 @@
-/** A small budget per caller for requests that it sends again by itself. */
+/** Limits the resends of each caller: requests that it sends again by itself. */
 import { hashText } from "../../../base/common/hash.ts";
 import { setEntry } from "../../../base/common/maps.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { Reduction } from "../../../base/common/reduction.ts";
 
-/** A request that names itself. */
+/** A request with an id that its resends share. */
 export interface IdentifiedRequest {
   readonly type: "RequestReceived";
+  /** Identifies the caller. */
   readonly caller: string;
-  /** The same in each resend of the request. */
+  /** Id of the request, the same in each resend; unique for the caller. */
   readonly id: string;
 }
 
-/** The request is a resend over the budget of its caller. */
+/** Refuses a request that is a resend over the budget of its caller. */
 export interface RefuseResend {
   readonly type: "RefuseResend";
 }
 
+/** Requests of one caller in a generation. */
 interface CallerCounts {
+  /** Distinct requests. */
   readonly firsts: number;
+  /** Resends that were not refused. */
   readonly resends: number;
 }
 
-/** What was seen in one stretch of time; split, so that a step copies little. */
+/**
+ * Requests received in one period. Ids and callers are split into buckets by
+ * hash, so that a step copies only one bucket.
+ */
 interface Generation {
+  /** Wall clock in milliseconds. */
   readonly startedAtMs: number;
   readonly ids: readonly ReadonlySet<string>[];
   readonly idCount: number;
+  /** Counts by caller. */
   readonly callers: readonly ReadonlyMap<string, CallerCounts>[];
 }
 
-/** Requests of the current generation and the one before. */
+/** State: the requests of the current and the previous generation. */
 export interface ResendBudgets {
   readonly current: Generation;
   readonly previous: Generation;
@@ -38,29 +47,29 @@
 
 /** Shortest time that an id is remembered, but for `MAX_IDS`. */
 export const RESEND_WINDOW_MS = 10_000;
-/** Resends that a caller has in any case. */
+/** Resends allowed to each caller regardless of its distinct requests. */
 export const RESEND_FLOOR = 10;
-/** Resends as a share of the caller's distinct requests. */
+/** Further resends allowed, as a share of the caller's distinct requests. */
 export const RESEND_SHARE = 0.1;
-/** Ids in a generation; beyond them the next one begins early. */
+/** Maximum number of ids in a generation; then the next one begins early. */
 export const MAX_GENERATION_IDS = 4_096;
 const BUCKET_COUNT = 128;
 const NO_COUNTS: CallerCounts = { firsts: 0, resends: 0 };
 const NO_IDS: ReadonlySet<string> = new Set();
 const NO_CALLERS: ReadonlyMap<string, CallerCounts> = new Map();
 
-/** Nothing was received yet. */
+/** State before any request. */
 export const EMPTY_RESEND_BUDGETS: ResendBudgets = {
   current: createGeneration(0),
   previous: createGeneration(0),
 };
 
 /**
- * Counts a request. One whose id is not remembered is a first one and never
- * refused; a resend is, where its caller's resends of both generations would
- * pass `RESEND_FLOOR + RESEND_SHARE * firsts`. What is forgotten early, for
- * want of room, counts as a first one again: the error is in favour of the
- * caller.
+ * Records a request. A request whose id is not retained is a first one, which
+ * is never refused. A resend is refused if the caller's resends in both
+ * generations would exceed `RESEND_FLOOR + RESEND_SHARE * firsts`. An id that
+ * is evicted early, because a generation was full, counts as a first one
+ * again: the error is in favour of the caller.
  */
 export function reduceResendBudget(
   state: ResendBudgets,
@@ -90,9 +99,9 @@
   return createReduction({ current: next, previous });
 }
 
-function createGeneration(startedMs: number): Generation {
+function createGeneration(startedAtMs: number): Generation {
   return {
-    startedAtMs: startedMs,
+    startedAtMs,
     ids: Array.from({ length: BUCKET_COUNT }, () => NO_IDS),
     idCount: 0,
     callers: Array.from({ length: BUCKET_COUNT }, () => NO_CALLERS),
@@ -118,7 +127,7 @@
   return generation.ids[computeBucket(id)]!.has(id);
 }
 
-/** A resend is remembered anew, so that its id stays known while it comes. */
+/** Adds the id of a first request or resend, which prolongs its retention. */
 function addId(generation: Generation, id: string): Generation {
   const index = computeBucket(id);
   const bucket = generation.ids[index]!;
@@ -136,13 +145,13 @@
 function addCounts(
   generation: Generation,
   caller: string,
-  more: CallerCounts,
+  increment: CallerCounts,
 ): Generation {
   const index = computeBucket(caller);
   const { firsts, resends } = getCounts(generation, caller);
   const counts = {
-    firsts: firsts + more.firsts,
-    resends: resends + more.resends,
+    firsts: firsts + increment.firsts,
+    resends: resends + increment.resends,
   };
   const bucket = setEntry(generation.callers[index]!, caller, counts);
   return { ...generation, callers: generation.callers.with(index, bucket) };
--- a/src/engine/retry/common/retry_tokens.ts
+++ b/src/engine/retry/common/retry_tokens.ts
@@ -1,37 +1,38 @@
 /**
- * Retry tokens: what one root request may spend over its whole call tree.
+ * Retry tokens bound the retries in the whole call tree of a root request.
  *
- * With T tokens at the root, the attempts of all calls of the tree beyond the
- * first one of each number at most T: `retries(tree) <= T`, for any depth,
- * fan-out, loss of answers or repetition of calls. Why: a token is in exactly
- * one place, a pool, a share on its way, or spent. A retry spends one of the
- * call's own pool. A share leaves the pool when it is handed out; it comes
- * back once, in the one answer that is taken, and then the child's pool is
- * empty. A share whose answer is lost never comes back. A call whose parent is
- * not known here starts with none.
+ * With T tokens at the root, all calls of the tree together make at most T
+ * attempts beyond their first ones, `retries(tree) <= T`, for any depth,
+ * fan-out, loss of answers or repetition of calls. The bound holds because each
+ * token is in exactly one state: in a pool, in a share in transit, or spent. A
+ * retry spends a token of the call's own pool. A share leaves the pool when it
+ * is given to a child call. It returns at most once, with the one answer that
+ * is accepted, after which the child's pool is empty. If that answer is lost,
+ * the share is lost too. A call without a known parent starts with no tokens.
  */
 
-/** The tokens that one attempt of a call holds, on the node that serves it. */
+/** Tokens of one attempt of a call, at the node that serves it. */
 export interface TokenPool {
+  /** Unspent tokens. */
   readonly left: number;
 }
 
-/** Tokens handed to a child call, and the pool that is left. */
+/** Tokens given to a child call, and the remaining pool. */
 export interface TokenShare {
   readonly pool: TokenPool;
   readonly share: number;
 }
 
-/** A pool that has nothing to give. */
+/** A pool without tokens. */
 export const EMPTY_POOL: TokenPool = { left: 0 };
 
-/** Takes the share of a child call: half, rounded up. */
+/** Takes the share of a child call: half of the pool, rounded up. */
 export function takeShare(pool: TokenPool): TokenShare {
   const share = Math.ceil(pool.left / 2);
   return { share, pool: { left: pool.left - share } };
 }
 
-/** Gives back what a child call did not use; never more than it was given. */
+/** Returns the tokens that a child call did not spend, at most its share. */
 export function returnShare(
   pool: TokenPool,
   given: number,
--- a/src/engine/retry/common/settled_attempts.ts
+++ b/src/engine/retry/common/settled_attempts.ts
@@ -1,53 +1,59 @@
-/** Which attempts ended here, were refused or fenced: what may be said of them. */
+/**
+ * Attempts that are settled at this node: they ended, were refused, or were
+ * fenced. A fence blocks an attempt that has not arrived, so that it can be
+ * reported as not run.
+ */
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 
-/** How an attempt ended at the node that received it. */
+/** How an attempt was settled at the node that it was sent to. */
 export type SettledAs =
-  /** The backend server may have run it. */
+  /** It ended; the backend server may have run it. */
   | "ended"
-  /** Refused before the backend server saw a byte. */
+  /** It was refused before any byte was sent to the backend server. */
   | "refused"
-  /** Given up by its sender before it arrived. */
+  /** Its sender abandoned it before it arrived. */
   | "fenced";
 
+/** A group of attempts that are evicted together. */
 interface SettledBlock {
+  /** By attempt id. */
   readonly attempts: ReadonlyMap<string, "ended" | "refused">;
-  /** When its last attempt settled, in milliseconds. */
+  /** When the last attempt of the block was settled, in milliseconds. */
   readonly lastMs: number;
 }
 
-/** A bounded memory of attempts that knows how far back it reaches. */
+/** A bounded record of settled attempts, and how far back it is complete. */
 export interface SettledAttempts {
-  /** The newest, a few: only these are copied at each step. */
+  /** The newest attempts, at most `RECENT_SIZE`; copied in each step. */
   readonly recent: SettledBlock;
-  /** Grows by all of `recent` at a time. */
+  /** The block that `recent` is merged into once it is full. */
   readonly open: SettledBlock;
   /** Full blocks, oldest first. */
   readonly closed: readonly SettledBlock[];
-  /** When each fenced attempt was fenced, oldest first. */
+  /** Times of the fences in milliseconds by attempt id, oldest first. */
   readonly fences: ReadonlyMap<string, number>;
-  /** Every attempt that was forgotten had settled by then. */
+  /** All evicted attempts were settled at or before this time, in ms. */
   readonly forgottenMs: number;
 }
 
-/** Attempts that are held apart from the open block. */
+/** Number of attempts at which `recent` is merged into the open block. */
 const RECENT_SIZE = 32;
 /** Attempts in one block; a multiple of `RECENT_SIZE`. */
 export const BLOCK_SIZE = 512;
-/** Full blocks that are kept; each is looked through for a repeat. */
+/** Maximum number of full blocks retained; a lookup searches each of them. */
 export const MAX_BLOCKS = 15;
-/** Fences held at a time; beyond that no attempt is fenced. */
+/** Maximum number of fences; while it is reached, no attempt is fenced. */
 export const MAX_FENCES = 4_096;
 /**
- * How long a fence is held. Longer than TCP goes on sending what was written
- * (about 924 s with Linux's 15 retransmissions), so that a fenced attempt
- * can't arrive after its fence is gone.
+ * Lifetime of a fence. It is longer than TCP retransmits written data (about
+ * 924 s with the 15 retransmissions of Linux), so that a fenced attempt cannot
+ * arrive after its fence has expired.
  */
 export const FENCE_HELD_MS = 1_000_000;
-/** Longest wait for the answer to a question about an attempt. */
+/** Timeout of a query for the state of an attempt at another node. */
 export const ASK_TIMEOUT_MS = 1_000;
 
-/** Nothing has settled yet. */
+/** State before any attempt. */
 export const NO_SETTLED: SettledAttempts = {
   recent: { attempts: new Map(), lastMs: 0 },
   open: { attempts: new Map(), lastMs: 0 },
@@ -56,7 +62,7 @@
   forgottenMs: 0,
 };
 
-/** Finds how an attempt settled; undefined where it is not remembered. */
+/** Returns how an attempt was settled, or undefined if it is not on record. */
 export function findSettled(
   settled: SettledAttempts,
   attemptId: string,
@@ -64,10 +70,10 @@
   if (settled.fences.has(attemptId)) {
     return "fenced";
   }
-  const found = settled.recent.attempts.get(attemptId) ??
+  const settledAs = settled.recent.attempts.get(attemptId) ??
     settled.open.attempts.get(attemptId);
-  if (found !== undefined) {
-    return found;
+  if (settledAs !== undefined) {
+    return settledAs;
   }
   for (const block of settled.closed) {
     const as = block.attempts.get(attemptId);
@@ -78,7 +84,7 @@
   return undefined;
 }
 
-/** Remembers an attempt that ended; the oldest block is forgotten first. */
+/** Records an attempt that ended or was refused; evicts the oldest block first. */
 export function rememberSettled(
   settled: SettledAttempts,
   attempt: { readonly attemptId: string; readonly as: "ended" | "refused" },
@@ -93,11 +99,11 @@
 }
 
 /**
- * Fences an attempt that is not remembered, or returns undefined where that
- * proves nothing. `ageMs` is the time since it was sent when the question
- * left. The question took at most `ASK_TIMEOUT_MS`, so the attempt was sent
- * after `nowMs - ageMs - ASK_TIMEOUT_MS`; had it ended here and been
- * forgotten, it would have settled by `forgottenMs`.
+ * Fences an attempt that is not on record, or returns undefined if the attempt
+ * may have been settled and evicted. `ageMs` is the time between sending the
+ * attempt and sending the query. The query took at most `ASK_TIMEOUT_MS`, so
+ * the attempt was sent after `nowMs - ageMs - ASK_TIMEOUT_MS`. If that is after
+ * `forgottenMs`, the attempt cannot be among the evicted ones.
  */
 export function fenceSettled(
   settled: SettledAttempts,
@@ -126,27 +132,27 @@
 
 function closeBlock(
   settled: SettledAttempts,
-  full: SettledBlock,
+  block: SettledBlock,
 ): SettledAttempts {
-  const closed = [...settled.closed, full];
-  const open: SettledBlock = { attempts: new Map(), lastMs: full.lastMs };
+  const closed = [...settled.closed, block];
+  const open: SettledBlock = { attempts: new Map(), lastMs: block.lastMs };
   if (closed.length <= MAX_BLOCKS) {
     return { ...settled, open, closed };
   }
-  const [oldest, ...kept] = closed;
-  return { ...settled, open, closed: kept, forgottenMs: oldest!.lastMs };
+  const [oldest, ...retained] = closed;
+  return { ...settled, open, closed: retained, forgottenMs: oldest!.lastMs };
 }
 
 function expireFences(
   fences: SettledAttempts["fences"],
   nowMs: number,
 ): SettledAttempts["fences"] {
-  let kept = fences;
+  let retained = fences;
   for (const [attemptId, fencedMs] of fences) {
     if (nowMs - fencedMs <= FENCE_HELD_MS) {
       break;
     }
-    kept = deleteEntry(kept, attemptId);
+    retained = deleteEntry(retained, attemptId);
   }
-  return kept;
+  return retained;
 }
