--- a/src/engine/retry/common/resend_budget.ts
+++ b/src/engine/retry/common/resend_budget.ts
@@ -1,4 +1,4 @@
-/** Limits the resends of each caller: requests that it sends again by itself. */
+/** Budget per caller for resends: requests that it sends again by itself. */
 import { hashText } from "../../../base/common/hash.ts";
 import { setEntry } from "../../../base/common/maps.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
@@ -45,7 +45,7 @@
   readonly previous: Generation;
 }
 
-/** Shortest time that an id is remembered, but for `MAX_IDS`. */
+/** Minimum retention of an id, unless `MAX_GENERATION_IDS` is reached. */
 export const RESEND_WINDOW_MS = 10_000;
 /** Resends allowed to each caller regardless of its distinct requests. */
 export const RESEND_FLOOR = 10;
--- a/src/engine/retry/common/retry_budget.ts
+++ b/src/engine/retry/common/retry_budget.ts
@@ -1,4 +1,4 @@
-/** Retry budget of a node: a small share of the first attempts that it sends. */
+/** Retry budget of a node: a small share of the first attempts it sends. */
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { Reduction } from "../../../base/common/reduction.ts";
 
--- a/src/engine/retry/common/settled_attempts.ts
+++ b/src/engine/retry/common/settled_attempts.ts
@@ -84,7 +84,7 @@
   return undefined;
 }
 
-/** Records an attempt that ended or was refused; evicts the oldest block first. */
+/** Records an attempt that ended or was refused; may evict the oldest block. */
 export function rememberSettled(
   settled: SettledAttempts,
   attempt: { readonly attemptId: string; readonly as: "ended" | "refused" },
--- a/src/engine/retry/test/resend_budget_test.ts
+++ b/src/engine/retry/test/resend_budget_test.ts
@@ -1,4 +1,4 @@
-/** Resends by callers: recognised, and held to a budget. */
+/** Resends of callers are detected, and limited by a budget. */
 import { expect } from "chai";
 import fc from "fast-check";
 import {
@@ -12,11 +12,12 @@
 
 const START_MS = 1_000_000;
 
-class Edge {
+/** Applies requests to the budget at a settable time. */
+class BudgetFixture {
   nowMs = START_MS;
   #state = EMPTY_RESEND_BUDGETS;
 
-  /** Whether the request passes. */
+  /** Returns whether the request is not refused. */
   receive(caller: string, id: string): boolean {
     const request = { type: "RequestReceived", caller, id } as const;
     const step = reduceResendBudget(this.#state, request, this.nowMs);
@@ -30,42 +31,42 @@
 }
 
 describe("budget of a caller's resends", () => {
-  it("refuses a resend beyond it, and no first one", () => {
-    const edge = new Edge();
+  it("refuses a resend that exceeds it, and no first request", () => {
+    const budget = new BudgetFixture();
     for (let n = 0; n < 100; n += 1) {
-      expect(edge.receive("a", `${n}`)).to.equal(true);
+      expect(budget.receive("a", `${n}`)).to.equal(true);
     }
-    const passed = Array.from({ length: 100 }, () => edge.receive("a", "7"));
+    const passed = Array.from({ length: 100 }, () => budget.receive("a", "7"));
     const allowed = RESEND_FLOOR + RESEND_SHARE * 100;
     expect(passed.filter((isPassed) => isPassed)).to.have.length(allowed);
     expect(passed.lastIndexOf(true)).to.equal(allowed - 1);
-    expect(edge.receive("a", "new")).to.equal(true);
+    expect(budget.receive("a", "new")).to.equal(true);
   });
 
-  it("is each caller's own, and so are the ids", () => {
-    const edge = new Edge();
+  it("is separate for each caller, and so are the ids", () => {
+    const budget = new BudgetFixture();
     for (let n = 0; n < 50; n += 1) {
-      edge.receive("a", "7");
+      budget.receive("a", "7");
     }
-    expect(edge.receive("a", "7")).to.equal(false);
+    expect(budget.receive("a", "7")).to.equal(false);
     for (let n = 0; n <= RESEND_FLOOR; n += 1) {
-      expect(edge.receive("b", "7")).to.equal(true);
+      expect(budget.receive("b", "7")).to.equal(true);
     }
   });
 
-  it("is there again after two windows, and an id stays known till then", () => {
-    const edge = new Edge();
+  it("is restored after two windows; until then, ids are retained", () => {
+    const budget = new BudgetFixture();
     for (let n = 0; n < 50; n += 1) {
-      edge.receive("a", "7");
+      budget.receive("a", "7");
     }
-    edge.nowMs += RESEND_WINDOW_MS;
-    expect(edge.receive("a", "7")).to.equal(false);
-    edge.nowMs += RESEND_WINDOW_MS;
-    const passed = Array.from({ length: 50 }, () => edge.receive("a", "7"));
+    budget.nowMs += RESEND_WINDOW_MS;
+    expect(budget.receive("a", "7")).to.equal(false);
+    budget.nowMs += RESEND_WINDOW_MS;
+    const passed = Array.from({ length: 50 }, () => budget.receive("a", "7"));
     expect(passed.filter((isPassed) => isPassed)).to.have.length(RESEND_FLOOR);
   });
 
-  it("never refuses a first one, and holds over each window", () => {
+  it("never refuses a first request, and holds in each window", () => {
     const step = fc.record({
       afterMs: fc.integer({ min: 0, max: 100 }),
       caller: fc.constantFrom("a", "b"),
@@ -75,38 +76,38 @@
       fc.property(
         fc.array(step, { minLength: 200, maxLength: 400 }),
         (steps) => {
-          const edge = new Edge();
+          const budget = new BudgetFixture();
           const seen = new Set<string>();
           const passed: { atMs: number; caller: string; isFirst: boolean }[] =
             [];
           for (const { afterMs, caller, id } of steps) {
-            edge.nowMs += afterMs;
-            const { nowMs: atMs } = edge;
+            budget.nowMs += afterMs;
+            const { nowMs: atMs } = budget;
             const isFirst = !seen.has(`${caller} ${id}`);
             seen.add(`${caller} ${id}`);
-            const isPassed = edge.receive(caller, `${id}`);
+            const isPassed = budget.receive(caller, `${id}`);
             expect(isPassed || !isFirst).to.equal(true);
             if (isPassed) {
               passed.push({ atMs, caller, isFirst });
             }
-            // Ids that were quiet for two windows may count as first ones again.
+            // An id without requests for two windows may count as a first one.
             const recent = passed.filter((one) =>
               one.caller === caller && one.atMs > atMs - RESEND_WINDOW_MS
             );
             const resends = recent.filter((one) => !one.isFirst).length;
-            const most = RESEND_FLOOR + 31 + RESEND_SHARE * 2 * 31;
-            expect(resends).to.be.at.most(most);
+            const maxResends = RESEND_FLOOR + 31 + RESEND_SHARE * 2 * 31;
+            expect(resends).to.be.at.most(maxResends);
           }
         },
       ),
     );
   });
 
-  it("remembers a bounded number of ids, and refuses none for it", () => {
-    const edge = new Edge();
+  it("retains a bounded number of ids, and refuses no first request", () => {
+    const budget = new BudgetFixture();
     for (let n = 0; n < 3 * MAX_GENERATION_IDS; n += 1) {
-      expect(edge.receive(`caller-${n % 100}`, `${n}`)).to.equal(true);
-      expect(Math.max(...edge.idCounts)).to.be.at.most(MAX_GENERATION_IDS);
+      expect(budget.receive(`caller-${n % 100}`, `${n}`)).to.equal(true);
+      expect(Math.max(...budget.idCounts)).to.be.at.most(MAX_GENERATION_IDS);
     }
   });
 });
--- a/src/engine/retry/test/retry_budget_test.ts
+++ b/src/engine/retry/test/retry_budget_test.ts
@@ -1,4 +1,4 @@
-/** A node's retry budget. */
+/** The retry budget of a node holds in every window. */
 import { expect } from "chai";
 import fc from "fast-check";
 import {
--- a/src/engine/retry/test/retry_tokens_test.ts
+++ b/src/engine/retry/test/retry_tokens_test.ts
@@ -1,4 +1,4 @@
-/** The bound on retries over random call trees, through the real reducer. */
+/** Retry tokens bound the retries of random call trees run by the reducer. */
 import { expect } from "chai";
 import fc from "fast-check";
 import { createRandom } from "../../../base/test/seeded_random.ts";
@@ -7,19 +7,23 @@
 import { NodeNetwork, ROW } from "../../call/test/node_network.ts";
 import type { BackendRun } from "../../call/test/node_network.ts";
 
+/** Random parameters of a call tree and its faults. */
 interface TreePlan {
   readonly seed: number;
   readonly tokens: number;
   readonly idempotent: boolean;
   readonly depth: number;
+  /** Calls that a run makes. */
   readonly fanOut: number;
-  /** Out of 100. */
+  /** Probability that a request, answer or reply is lost. */
   readonly lossPercent: number;
+  /** Probability that a run fails. */
   readonly failPercent: number;
+  /** Probability of a duplicate, replayed, late or unmarked call. */
   readonly faultPercent: number;
 }
 
-/** Most calls of one tree: keeps a run short. */
+/** Maximum number of calls in one tree, which keeps the test short. */
 const MAX_CALLS = 120;
 
 const PLAN: fc.Arbitrary<TreePlan> = fc.record({
@@ -33,54 +37,55 @@
   faultPercent: fc.integer({ min: 0, max: 40 }),
 });
 
+/** Outcome of a call tree. */
 interface TreeResult {
-  /** Ids of the attempts that were sent. */
+  /** Ids of the sent attempts. */
   readonly attempts: readonly string[];
   /** Ids of the attempts that a backend server ran. */
   readonly runs: readonly string[];
-  /** Exchange ids of calls that were told "not run". */
+  /** Exchange ids of the calls that were answered as not run. */
   readonly notRun: readonly string[];
 }
 
-/** Runs one tree. */
+/** Runs the call tree of a plan. */
 function runTree(plan: TreePlan): TreeResult {
   const random = createRandom(plan.seed);
-  const isDrawn = (percent: number) => random() * 100 < percent;
-  const old: { nodeId: string; context: CallContext }[] = [];
+  const drawChance = (percent: number) => random() * 100 < percent;
+  const earlier: { nodeId: string; context: CallContext }[] = [];
   const runs: string[] = [];
   let calls = 0;
 
-  /** Makes up to `left` calls, at once or one after the other. */
+  /** Makes up to `remaining` calls, concurrently or in sequence. */
   function fanOut(
     network: NodeNetwork,
     run: BackendRun,
-    left: number,
+    remaining: number,
     end: () => void,
   ): void {
-    if (left === 0 || calls >= MAX_CALLS) {
+    if (remaining === 0 || calls >= MAX_CALLS) {
       end();
       return;
     }
     const { nodeId, send } = run;
-    const isDropped = isDrawn(plan.faultPercent);
+    const isDropped = drawChance(plan.faultPercent);
     const header = isDropped ? undefined : encodeContext(send.context);
     const exchangeId = network.call(nodeId, "egress", header);
     calls += 1;
-    if (isDrawn(plan.faultPercent)) {
+    if (drawChance(plan.faultPercent)) {
       network.call(nodeId, "egress", header);
       calls += 1;
     }
-    const goOn = () => fanOut(network, run, left - 1, end);
-    if (isDrawn(50)) {
-      goOn();
+    const makeNext = () => fanOut(network, run, remaining - 1, end);
+    if (drawChance(50)) {
+      makeNext();
     } else {
-      network.waitAnswer(exchangeId, goOn);
+      network.waitAnswer(exchangeId, makeNext);
     }
   }
 
   function replay(network: NodeNetwork): void {
-    const replayed = old[Math.floor(random() * old.length)];
-    if (replayed !== undefined && isDrawn(plan.faultPercent)) {
+    const replayed = earlier[Math.floor(random() * earlier.length)];
+    if (replayed !== undefined && drawChance(plan.faultPercent)) {
       calls += 1;
       const header = encodeContext(replayed.context);
       network.call(replayed.nodeId, "egress", header);
@@ -90,7 +95,7 @@
   function answer(network: NodeNetwork, run: BackendRun): void {
     const { nodeId, send } = run;
     const { attemptId } = send;
-    if (isDrawn(plan.failPercent)) {
+    if (drawChance(plan.failPercent)) {
       fail(network, run, true);
       return;
     }
@@ -114,13 +119,13 @@
     const isLeaf = context.depth + 1 >= plan.depth || calls >= MAX_CALLS;
     const count = isLeaf ? 0 : plan.fanOut;
     replay(network);
-    if (isDrawn(plan.failPercent / 2)) {
+    if (drawChance(plan.failPercent / 2)) {
       fail(network, run, false);
       return;
     }
-    old.push({ nodeId, context });
-    if (isDrawn(plan.faultPercent)) {
-      // Calls made after the head of the answer, or after the failure.
+    earlier.push({ nodeId, context });
+    if (drawChance(plan.faultPercent)) {
+      // Makes its calls after the head of the answer, or after the failure.
       runs.push(send.attemptId);
       answer(network, run);
       fanOut(network, run, count, () => {});
@@ -134,13 +139,13 @@
   const row = { ...ROW, retries: tokens, idempotent };
   const loseRequest = () => {
     const loss = random() < 0.5 ? "late" : "lost";
-    return isDrawn(plan.lossPercent / 2) ? loss : undefined;
+    return drawChance(plan.lossPercent / 2) ? loss : undefined;
   };
   const network = new NodeNetwork(row, 4, {
     loseRequest,
     runBackend,
-    isAnswerLost: () => isDrawn(plan.lossPercent),
-    isReplyLost: () => isDrawn(plan.lossPercent),
+    isAnswerLost: () => drawChance(plan.lossPercent),
+    isReplyLost: () => drawChance(plan.lossPercent),
   });
   network.call("n0", "edge");
   network.run();
@@ -150,7 +155,7 @@
   return { attempts: network.sent, runs, notRun };
 }
 
-/** Counts runs by the exchange id of their call. */
+/** Counts the runs of each call, by exchange id. */
 function countRuns(runs: readonly string[]): ReadonlyMap<string, number> {
   const counts = new Map<string, number>();
   for (const attemptId of runs) {
@@ -160,7 +165,7 @@
   return counts;
 }
 
-/** An attempt id ends with its number within its call. */
+/** Counts attempts after the first; an id ends with the number in its call. */
 function countRetries(attempts: readonly string[]): number {
   return attempts.filter((id) => Number(id.split(".").at(-1)) > 1).length;
 }
@@ -170,7 +175,7 @@
     let trees = 0;
     let spent = 0;
     let exact = 0;
-    let most = 0;
+    let maxAttempts = 0;
     fc.assert(
       fc.property(PLAN, (plan) => {
         const { attempts } = runTree(plan);
@@ -178,27 +183,29 @@
         trees += 1;
         spent += retries;
         exact += plan.tokens > 0 && retries === plan.tokens ? 1 : 0;
-        most = Math.max(most, attempts.length);
+        maxAttempts = Math.max(maxAttempts, attempts.length);
         expect(retries).to.be.at.most(plan.tokens);
       }),
       { numRuns: 150, seed: 11 },
     );
-    // The trees must come up to the bound, else they show nothing.
+    // The test is meaningful only if some trees reach the bound.
     expect(trees).to.equal(150);
     expect(exact).to.be.above(8);
-    expect(most).to.be.above(60);
+    expect(maxAttempts).to.be.above(60);
     expect(spent).to.be.above(100);
-    console.log(`      ${JSON.stringify({ trees, spent, exact, most })}`);
+    console.log(
+      `      ${JSON.stringify({ trees, spent, exact, most: maxAttempts })}`,
+    );
   });
 
   it("never make a call run that is told not-run, nor one run twice", () => {
-    let told = 0;
+    let notRunCount = 0;
     let resent = 0;
     fc.assert(
       fc.property(PLAN, (plan) => {
         const { attempts, runs, notRun } = runTree(plan);
         const counts = countRuns(runs);
-        told += notRun.length;
+        notRunCount += notRun.length;
         resent += plan.idempotent ? 0 : countRetries(attempts);
         for (const exchangeId of notRun) {
           expect(counts.get(exchangeId), exchangeId).to.equal(undefined);
@@ -209,9 +216,9 @@
       }),
       { numRuns: 150, seed: 11 },
     );
-    expect(told).to.be.above(50);
+    expect(notRunCount).to.be.above(50);
     expect(resent).to.be.above(25);
-    console.log(`      ${JSON.stringify({ told, resent })}`);
+    console.log(`      ${JSON.stringify({ told: notRunCount, resent })}`);
   });
 
   it("are not spent again by calls made after the answer's head", () => {
--- a/src/engine/retry/test/settled_attempts_test.ts
+++ b/src/engine/retry/test/settled_attempts_test.ts
@@ -1,4 +1,4 @@
-/** The bounded memory of settled attempts never calls a run one "not run". */
+/** The bounded record never reports an attempt as not run that may have run. */
 import { expect } from "chai";
 import {
   ASK_TIMEOUT_MS,
@@ -15,7 +15,7 @@
 
 const CAPACITY = BLOCK_SIZE * (MAX_BLOCKS + 1);
 
-/** Settles `count` attempts, one a millisecond, from `fromMs` on. */
+/** Records `count` ended attempts, one per millisecond from `fromMs`. */
 function fill(count: number, fromMs: number): SettledAttempts {
   let settled = NO_SETTLED;
   for (let i = 0; i < count; i++) {
@@ -33,25 +33,25 @@
     const ageMs = nowMs - 100_000;
     expect(fenceSettled(settled, { attemptId: "a0", ageMs }, nowMs))
       .to.equal(undefined);
-    // The question itself may have been on its way for a while.
-    const edgeMs = nowMs - settled.forgottenMs - ASK_TIMEOUT_MS;
-    expect(fenceSettled(settled, { attemptId: "b", ageMs: edgeMs }, nowMs))
+    // The query itself may have taken up to `ASK_TIMEOUT_MS`.
+    const maxAgeMs = nowMs - settled.forgottenMs - ASK_TIMEOUT_MS;
+    expect(fenceSettled(settled, { attemptId: "b", ageMs: maxAgeMs }, nowMs))
       .to.equal(undefined);
-    const young = { attemptId: "b", ageMs: edgeMs - 1 };
-    const fenced = fenceSettled(settled, young, nowMs)!;
+    const recent = { attemptId: "b", ageMs: maxAgeMs - 1 };
+    const fenced = fenceSettled(settled, recent, nowMs)!;
     expect(findSettled(fenced, "b")).to.equal("fenced");
   });
 
-  it("remembers the last attempts within its bound", () => {
+  it("retains the latest attempts within its bound", () => {
     const settled = fill(3 * CAPACITY, 0);
-    const kept = settled.open.attempts.size +
+    const retained = settled.open.attempts.size +
       settled.closed.reduce((sum, block) => sum + block.attempts.size, 0);
-    expect(kept).to.be.within(CAPACITY - BLOCK_SIZE, CAPACITY);
+    expect(retained).to.be.within(CAPACITY - BLOCK_SIZE, CAPACITY);
     const newest = `a${3 * CAPACITY - 1}`;
     expect(findSettled(settled, newest)).to.equal("ended");
   });
 
-  it("refuses to fence rather than lift a fence early", () => {
+  it("refuses to fence rather than expire a fence early", () => {
     const ids = Array.from({ length: MAX_FENCES }, (_, i) => `f${i}`);
     const fences = new Map(ids.map((id) => [id, 10_000]));
     const settled: SettledAttempts = { ...NO_SETTLED, fences };
--- a/src/engine/routes/common/route_check.ts
+++ b/src/engine/routes/common/route_check.ts
@@ -1,29 +1,29 @@
-/** What makes a route table invalid as a whole. */
+/** Validates a route table. */
 import { checkWorkspaces } from "../../workspaces/common/workspace.ts";
 import type { Route, RouteTable } from "./route_table.ts";
 
-/** Longest time limit that a route may have: ten minutes. */
+/** Maximum timeout of a route. */
 export const MAX_TIMEOUT_MS = 600_000;
 
 /**
- * Describes the first fault of a table, or undefined where it has none.
- * `services` are the services that the table's document defines.
+ * Describes the first fault of a table; returns undefined if it is valid.
+ * `services` are those that the document of the table defines.
  */
 export function checkRoutes(
   table: RouteTable,
   services: ReadonlySet<string>,
 ): string | undefined {
-  const places = new Set<string>();
+  const hostsAndPrefixes = new Set<string>();
   for (const route of table.routes) {
     const fault = checkRoute(route, services);
     if (fault !== undefined) {
       return `Route ${route.name}: ${fault}`;
     }
-    const place = `${route.host} ${route.prefix}`;
-    if (places.has(place)) {
+    const hostAndPrefix = `${route.host} ${route.prefix}`;
+    if (hostsAndPrefixes.has(hostAndPrefix)) {
       return `Route ${route.name}: another route has the same host and prefix`;
     }
-    places.add(place);
+    hostsAndPrefixes.add(hostAndPrefix);
   }
   return checkWorkspaces(table.workspaces ?? []);
 }
--- a/src/engine/routes/common/route_match.ts
+++ b/src/engine/routes/common/route_match.ts
@@ -1,10 +1,10 @@
-/** Finds the route of a request, and the service that a request goes to. */
+/** Selects the route of a request, and the service that the request goes to. */
 import type { Route, RouteTable } from "./route_table.ts";
 
-/** Routes by host, those with the longest prefixes first. */
+/** Routes by host, in descending order of prefix length. */
 export type RouteIndex = ReadonlyMap<string, readonly Route[]>;
 
-/** Builds the index of a table; once for each table. */
+/** Builds the index of a table. */
 export function buildRouteIndex(table: RouteTable): RouteIndex {
   const byHost = new Map<string, Route[]>();
   for (const route of table.routes) {
@@ -18,7 +18,7 @@
   return byHost;
 }
 
-/** Selects the route with the longest prefix of `path` on `host`. */
+/** Selects the route of `host` with the longest prefix of `path`. */
 export function selectRoute(
   index: RouteIndex,
   host: string,
@@ -29,40 +29,41 @@
 }
 
 /**
- * Selects the target of a route's next request: smooth weighted round robin,
- * so that each target's share is kept over any short run of requests.
+ * Selects the target of each request of a route by smooth weighted round robin,
+ * so that even short sequences of requests keep the shares of the targets.
  */
 export class TargetChooser {
-  readonly #credits = new Map<string, number[]>();
+  /** Current weights of the targets, by route name. */
+  readonly #currentWeights = new Map<string, number[]>();
 
-  /** Chooses a service; the route's share of it moves on. */
+  /** Chooses the service of the next request, and updates the weights. */
   choose(route: Route): string {
     const { targets, name } = route;
     if (targets.length === 1) {
       return targets[0]!.service;
     }
-    const credits = this.#credits.get(name) ?? [];
-    this.#credits.set(name, credits);
-    credits.length = targets.length;
+    const weights = this.#currentWeights.get(name) ?? [];
+    this.#currentWeights.set(name, weights);
+    weights.length = targets.length;
     let best = 0;
     let total = 0;
-    targets.forEach(({ weight }, at) => {
+    targets.forEach(({ weight }, index) => {
       total += weight;
-      credits[at] = (credits[at] ?? 0) + weight;
-      if (credits[at]! > credits[best]!) {
-        best = at;
+      weights[index] = (weights[index] ?? 0) + weight;
+      if (weights[index]! > weights[best]!) {
+        best = index;
       }
     });
-    credits[best] = credits[best]! - total;
+    weights[best] = weights[best]! - total;
     return targets[best]!.service;
   }
 
-  /** Forgets the routes that are no longer in force. */
+  /** Removes the state of routes that are not in the table. */
   prune(table: RouteTable): void {
     const names = new Set(table.routes.map(({ name }) => name));
-    for (const name of this.#credits.keys()) {
+    for (const name of this.#currentWeights.keys()) {
       if (!names.has(name)) {
-        this.#credits.delete(name);
+        this.#currentWeights.delete(name);
       }
     }
   }
--- a/src/engine/routes/common/route_table.ts
+++ b/src/engine/routes/common/route_table.ts
@@ -1,62 +1,64 @@
-/** Routes of requests to services, as operators replace them: one document. */
+/** Routes of requests to services; operators replace all of them at once. */
 import type { Workspace } from "../../workspaces/common/workspace.ts";
 
 /** A service that takes a share of a route's requests. */
 export interface RouteTarget {
   readonly service: string;
-  /** Relative to the other targets of the route; above 0. */
+  /** Relative to the other targets; not negative, above 0 for one of them. */
   readonly weight: number;
 }
 
-/** One kind of request, recognised by host and path. */
+/** One kind of request, identified by host and path prefix. */
 export interface Route {
   readonly name: string;
-  /** Lower case, without a port. */
+  /** In lower case, without a port. */
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly prefix: string;
   /** At least one. */
   readonly targets: readonly RouteTarget[];
-  /** Whether running a request twice does no harm. */
+  /** Whether a request may be run twice without harm. */
   readonly isIdempotent: boolean;
-  /** When the caller has its final answer at the latest, in milliseconds. */
+  /** Time within which the caller gets its final answer, in milliseconds. */
   readonly timeoutMs: number;
-  /** Latency within which an answer has its full value, in milliseconds. */
+  /** Latency objective: a later answer has less value; in milliseconds. */
   readonly objectiveMs: number;
-  /** 0 is the most urgent. */
+  /** Urgency of the requests; 0 is the most urgent. */
   readonly rank: number;
-  /** Most backend servers that one request may be handed to. */
+  /** Maximum number of backend servers that one request is sent to. */
   readonly maxAttempts: number;
-  /** Whether only requests with the key of a workspace may come. */
+  /** Whether requests need the key of a workspace. */
   readonly needsKey?: boolean;
 }
 
-/** What callers may send, and how long they may take or stay idle. */
+/** Limits on the sizes and times of callers' requests. */
 export interface RequestLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
+  /** Time within which the header of a request must arrive. */
   readonly headerTimeoutMs: number;
+  /** Time after which an idle connection is closed. */
   readonly idleTimeoutMs: number;
 }
 
 /** All routes in force. */
 export interface RouteTable {
-  /** Grows with every replacement, in uneven steps; 0 is the empty table. */
+  /** Increases with every replacement, not always by 1; 0: the empty table. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly limits: RequestLimits;
-  /** Left out where requests need no keys. */
+  /** Undefined if requests need no keys. */
   readonly workspaces?: readonly Workspace[];
 }
 
-/** A replacement of the whole table, as it is replicated. */
+/** A replacement of the whole table, as replicated among control replicas. */
 export interface RouteDocument {
   readonly table: RouteTable;
-  /** The operator's own text, which reads return unchanged. */
+  /** The operator's original text, which reads return unchanged. */
   readonly source: string;
 }
 
-/** Limits before any table is known: those of Node's HTTP server. */
+/** Limits before any table is known, equal to those of Node's HTTP server. */
 export const DEFAULT_LIMITS: RequestLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 67_108_864,
--- a/src/engine/routes/test/routes_test.ts
+++ b/src/engine/routes/test/routes_test.ts
@@ -1,4 +1,4 @@
-/** Routes: how they match, share out, are checked and are replaced. */
+/** Matching, load balancing, validation and replacement of routes. */
 import { expect } from "chai";
 import { applyEdit } from "../../table/common/table_reducer.ts";
 import { INITIAL_TABLE_STATE } from "../../table/common/table_reducer.ts";
@@ -47,7 +47,7 @@
 }
 
 describe("routes", () => {
-  it("go by host and the longest prefix", () => {
+  it("are selected by host and the longest prefix", () => {
     const index = buildRouteIndex(createTable(
       1,
       createRoute({ name: "all", prefix: "/" }),
@@ -64,7 +64,7 @@
     expect(find("other.example", "/")).to.equal(undefined);
   });
 
-  it("share requests out by weight over any hundred", () => {
+  it("distribute any hundred requests by weight", () => {
     const targets = [
       { service: "old", weight: 90 },
       { service: "new", weight: 10 },
@@ -96,7 +96,7 @@
     });
   }
 
-  it("are refused with two at one place", () => {
+  it("are refused if two have the same host and prefix", () => {
     const table = createTable(1, createRoute(), createRoute({ name: "twin" }));
     expect(checkRoutes(table, new Set(["catalog"]))).to.be.a("string");
   });
@@ -111,7 +111,7 @@
     expect(resent.state).to.equal(first.state);
   });
 
-  it("is answered as accepted even when a newer one stands", () => {
+  it("is answered as accepted even after a newer one", () => {
     const first = replace(INITIAL_TABLE_STATE, 0, 5);
     const second = replace(first.state, 5, 9);
     const resent = replace(second.state, 0, 5);
@@ -119,7 +119,7 @@
     expect(resent.state.document.table.version).to.equal(9);
   });
 
-  it("loses to another one made from the same version", () => {
+  it("conflicts with an earlier one from the same version", () => {
     const first = replace(INITIAL_TABLE_STATE, 0, 5, "one");
     const second = replace(first.state, 0, 5, "two");
     expect(second.outcome)
@@ -134,10 +134,10 @@
       .to.deep.equal({ type: "RoutesOutdated", version: 5 });
   });
 
-  it("that was refused is decided anew when it comes again", () => {
-    const early = replace(INITIAL_TABLE_STATE, 5, 9);
-    expect(early.outcome.type).to.equal("RoutesConflicted");
-    const first = replace(early.state, 0, 5);
+  it("that was refused is decided again when it is resent", () => {
+    const premature = replace(INITIAL_TABLE_STATE, 5, 9);
+    expect(premature.outcome.type).to.equal("RoutesConflicted");
+    const first = replace(premature.state, 0, 5);
     expect(replace(first.state, 5, 9).outcome)
       .to.deep.equal({ type: "EditAccepted", version: 9 });
   });
