--- a/src/engine/retry/test/retry_tokens_test.ts
+++ b/src/engine/retry/test/retry_tokens_test.ts
@@ -15,11 +15,14 @@
   readonly depth: number;
   /** Calls that a run makes. */
   readonly fanOut: number;
-  /** Probability that a request, answer or reply is lost. */
+  /** Probability that an answer or reply is lost; half as high for a request. */
   readonly lossPercent: number;
   /** Probability that a run fails. */
   readonly failPercent: number;
-  /** Probability of a duplicate, replayed, late or unmarked call. */
+  /**
+   * Probability that a call has no context, is duplicated or is replayed, and
+   * that the calls of a run follow its answer.
+   */
   readonly faultPercent: number;
 }
 
--- a/src/engine/retry/test/settled_attempts_test.ts
+++ b/src/engine/retry/test/settled_attempts_test.ts
@@ -34,10 +34,12 @@
     expect(fenceSettled(settled, { attemptId: "a0", ageMs }, nowMs))
       .to.equal(undefined);
     // The query itself may have taken up to `ASK_TIMEOUT_MS`.
-    const maxAgeMs = nowMs - settled.forgottenMs - ASK_TIMEOUT_MS;
-    expect(fenceSettled(settled, { attemptId: "b", ageMs: maxAgeMs }, nowMs))
+    const uncertainAgeMs = nowMs - settled.forgottenMs - ASK_TIMEOUT_MS;
+    expect(
+      fenceSettled(settled, { attemptId: "b", ageMs: uncertainAgeMs }, nowMs),
+    )
       .to.equal(undefined);
-    const recent = { attemptId: "b", ageMs: maxAgeMs - 1 };
+    const recent = { attemptId: "b", ageMs: uncertainAgeMs - 1 };
     const fenced = fenceSettled(settled, recent, nowMs)!;
     expect(findSettled(fenced, "b")).to.equal("fenced");
   });
