--- a/src/engine/admission/test/call_simulation.ts
+++ b/src/engine/admission/test/call_simulation.ts
@@ -6,7 +6,7 @@
   readonly service: string;
   /** Mean time of a run without its calls, exponentially distributed. */
   readonly workMs: number;
-  /** Routes that a run calls, one schedule the other. */
+  /** Routes that a run calls, in sequence. */
   readonly calls: readonly string[];
   /** Maximum timeout of a call of this route. */
   readonly limitMs: number;
--- a/src/engine/admission/test/concurrency_limit_test.ts
+++ b/src/engine/admission/test/concurrency_limit_test.ts
@@ -17,7 +17,7 @@
 }
 
 describe("concurrency limit", () => {
-  it("falls in a slowdown to its minimum at maxRunning, and recovers", () => {
+  it("falls in a slowdown to its minimum at most, and recovers", () => {
     const server = new SingleServer(50);
     const load = createLoad(
       server,
--- a/src/engine/retry/test/retry_tokens_test.ts
+++ b/src/engine/retry/test/retry_tokens_test.ts
@@ -15,7 +15,7 @@
   readonly depth: number;
   /** Calls that a run makes. */
   readonly fanOut: number;
-  /** Probability that an answer or reply is lost; half as high for a request. */
+  /** Probability that an answer or reply is lost; half of it for a request. */
   readonly lossPercent: number;
   /** Probability that a run fails. */
   readonly failPercent: number;
