--- a/src/engine/quarantine/common/known_suspects.ts
+++ b/src/engine/quarantine/common/known_suspects.ts
@@ -21,16 +21,16 @@
 /** Most suspects that a node keeps; the oldest one goes first. */
 export const MAX_KNOWN_SUSPECTS = 4_096;
 /** A suspect of which nothing is heard is forgotten after this. */
-const KNOWN_MS = 2 * MAX_QUARANTINE_MS;
+const KNOWN_SUSPECT_TTL_MS = 2 * MAX_QUARANTINE_MS;
 
 /**
  * How long a suspect that was cleared is not suspected anew: the word of the
  * crash before may come later than the word of its owner, by one time-out of
  * a message and its resend.
  */
-const ACQUITTED_MS = 5_000;
+const CLEARED_RETENTION_MS = 5_000;
 /** A suspect that was told of so long ago is checked with its owner. */
-const SETTLED_MS = 3_000;
+const CHECK_DELAY_MS = 3_000;
 
 /** Notes that a suspect was cleared; the oldest ones are forgotten. */
 export function noteCleared(
@@ -57,7 +57,8 @@
   nowMs: number,
 ): boolean {
   const clearedAtMs = cleared.get(fingerprint);
-  return clearedAtMs !== undefined && nowMs - clearedAtMs < ACQUITTED_MS;
+  return clearedAtMs !== undefined &&
+    nowMs - clearedAtMs < CLEARED_RETENTION_MS;
 }
 
 /** Lists mere suspects that all nodes must have heard of by now. */
@@ -68,7 +69,7 @@
   return [...known]
     .filter(([, { quarantinedUntilMs, expiresAtMs }]) =>
       quarantinedUntilMs === 0 &&
-      nowMs - (expiresAtMs - KNOWN_MS) >= SETTLED_MS
+      nowMs - (expiresAtMs - KNOWN_SUSPECT_TTL_MS) >= CHECK_DELAY_MS
     )
     .map(([fingerprint]) => fingerprint);
 }
@@ -86,7 +87,7 @@
   for (const fingerprint of fingerprints) {
     const quarantinedUntilMs = next.get(fingerprint)?.quarantinedUntilMs ?? 0;
     next.delete(fingerprint);
-    const expiresAtMs = nowMs + KNOWN_MS;
+    const expiresAtMs = nowMs + KNOWN_SUSPECT_TTL_MS;
     next.set(fingerprint, { quarantinedUntilMs, expiresAtMs });
   }
   for (const oldest of next.keys()) {
--- a/src/engine/quarantine/common/quarantine_reducer.ts
+++ b/src/engine/quarantine/common/quarantine_reducer.ts
@@ -98,9 +98,9 @@
 /** Longest quarantine. */
 export const MAX_QUARANTINE_MS = 24 * 3_600_000;
 /** A node that says nothing for so long after its lease lost its run. */
-const LEASE_SLACK_MS = 5_000;
+const LEASE_GRACE_MS = 5_000;
 /** A suspect of which nothing is heard is forgotten after this. */
-const FORGET_MS = 2 * MAX_QUARANTINE_MS;
+const SUSPECT_TTL_MS = 2 * MAX_QUARANTINE_MS;
 const BUSY_RETRY_MS = 1_000;
 
 /** No suspects. */
@@ -117,7 +117,7 @@
 ): QuarantineStep {
   switch (event.type) {
     case "BackendCrashed":
-      return noteCrash(state, event, nowMs);
+      return recordCrash(state, event, nowMs);
     case "RunRequested":
       return requestRun(state, event, nowMs);
     case "RunFinished":
@@ -134,7 +134,7 @@
  * whose backend server died is guilty, unless the node says that another
  * suspect, which had been there before, ran beside it.
  */
-function noteCrash(
+function recordCrash(
   state: QuarantineState,
   crash: Extract<QuarantineEvent, { type: "BackendCrashed" }>,
   nowMs: number,
@@ -147,7 +147,7 @@
     const isGuilty = crash.guilty?.includes(fingerprint) ?? isLeased;
     const suspect = known ?? createSuspect(nowMs);
     const next = isGuilty
-      ? quarantine(suspect, nowMs)
+      ? quarantineSuspect(suspect, nowMs)
       : isLeased
       ? { ...suspect, lease: undefined }
       : suspect;
@@ -190,7 +190,7 @@
     ]);
   }
   const leaseId = state.nextLeaseId;
-  const endsAtMs = nowMs + timeoutMs + LEASE_SLACK_MS;
+  const endsAtMs = nowMs + timeoutMs + LEASE_GRACE_MS;
   const lease: RunLease = { nodeId, leaseId, endsAtMs };
   const suspects = setEntry(state.suspects, fingerprint, {
     ...suspect,
@@ -240,11 +240,11 @@
   const effects: QuarantineEffect[] = [];
   for (const [fingerprint, suspect] of state.suspects) {
     if (suspect.lease !== undefined && suspect.lease.endsAtMs <= nowMs) {
-      const next = quarantine(suspect, nowMs);
+      const next = quarantineSuspect(suspect, nowMs);
       const untilMs = next.quarantinedUntilMs;
       suspects = setEntry(suspects, fingerprint, next);
       effects.push({ type: "PublishQuarantine", fingerprint, untilMs });
-    } else if (nowMs - suspect.seenAtMs > FORGET_MS) {
+    } else if (nowMs - suspect.seenAtMs > SUSPECT_TTL_MS) {
       suspects = deleteEntry(suspects, fingerprint);
       effects.push({ type: "PublishCleared", fingerprint });
     }
@@ -264,7 +264,7 @@
   };
 }
 
-function quarantine(suspect: Suspect, nowMs: number): Suspect {
+function quarantineSuspect(suspect: Suspect, nowMs: number): Suspect {
   const lengthMs = QUARANTINE_MS * 2 ** suspect.quarantineCount;
   return {
     lease: undefined,
