--- a/src/engine/call/common/crash_steps.ts
+++ b/src/engine/call/common/crash_steps.ts
@@ -59,7 +59,7 @@
 ): NodeStep {
   const { attemptId, isSent, reason, isReset = false } = failure;
   const isJudged = state.quarantine.watch === undefined &&
-    state.quarantine.lastJudged.has(attemptId);
+    state.quarantine.lastSuspectedAttempts.has(attemptId);
   if (isSent && !isJudged) {
     return keepFailure(state, { attemptId, reason, isReset, isCut: false });
   }
@@ -76,9 +76,9 @@
   if (watch === undefined) {
     return startWatch(state, [failure]);
   }
-  const held = [...watch.held, failure];
+  const held = [...watch.heldFailures, failure];
   return createReduction(
-    putQuarantine(state, { watch: { ...watch, held } }),
+    putQuarantine(state, { watch: { ...watch, heldFailures: held } }),
   );
 }
 
@@ -90,7 +90,7 @@
   deps: ServedDeps,
 ): NodeStep {
   const { watch } = state.quarantine;
-  if (watch === undefined || watch.judged !== undefined) {
+  if (watch === undefined || watch.suspectedAttempts !== undefined) {
     return createReduction(state);
   }
   if (!isAlive || isAllReset(state, watch)) {
@@ -99,7 +99,7 @@
       (next) => settleTold(next, settle),
     );
   }
-  const freed = watch.held.reduce<NodeStep>(
+  const freed = watch.heldFailures.reduce<NodeStep>(
     (step, { attemptId }) =>
       chainReduction(
         step,
@@ -138,12 +138,14 @@
     );
   }
   const { watch } = state.quarantine;
-  if (watch?.untold.has(requestId) !== true) {
+  if (watch?.pendingNotifications.has(requestId) !== true) {
     return createReduction(state);
   }
-  const untold = new Set(watch.untold);
+  const untold = new Set(watch.pendingNotifications);
   untold.delete(requestId);
-  const next = putQuarantine(state, { watch: { ...watch, untold } });
+  const next = putQuarantine(state, {
+    watch: { ...watch, pendingNotifications: untold },
+  });
   return settleTold(next, settle);
 }
 
@@ -164,7 +166,7 @@
     const granted = { ...lease, leaseId, phase: "running" } as const;
     const { fingerprint } = lease;
     const run = sendServed(
-      putLease(state, attemptId, { ...granted, sinceMs: nowMs }),
+      putLease(state, attemptId, { ...granted, phaseStartedAtMs: nowMs }),
       attemptId,
       deps,
     );
@@ -213,7 +215,11 @@
   state: NodeState,
   held: readonly HeldFailure[],
 ): NodeStep {
-  const watch: CrashWatch = { held, untold: new Set(), judged: undefined };
+  const watch: CrashWatch = {
+    heldFailures: held,
+    pendingNotifications: new Set(),
+    suspectedAttempts: undefined,
+  };
   return createReduction(putQuarantine(state, { watch }), [
     { type: "ProbeBackend", address: state.backendAddress },
   ]);
@@ -221,15 +227,15 @@
 
 /** Whether all that ran was reset at once: a process that is back already. */
 function isAllReset(state: NodeState, watch: CrashWatch): boolean {
-  const failed = new Set(watch.held.map(({ attemptId }) => attemptId));
+  const failed = new Set(watch.heldFailures.map(({ attemptId }) => attemptId));
   return failed.size >= MIN_RESETS &&
-    watch.held.every(({ isReset }) => isReset) &&
+    watch.heldFailures.every(({ isReset }) => isReset) &&
     listSent(state).every(({ attemptId }) => failed.has(attemptId));
 }
 
 /** Lists the attempts that the backend server has seen and not ended. */
 function listSent(state: NodeState): readonly ServedCall[] {
-  const { lastJudged } = state.quarantine;
+  const { lastSuspectedAttempts: lastJudged } = state.quarantine;
   return [...state.served.values()].filter((call) =>
     !isUnsent(state, call) && !lastJudged.has(call.attemptId)
   );
@@ -240,7 +246,8 @@
   watch: CrashWatch,
   nowMs: number,
 ): NodeStep {
-  const { known, leases, abandoned, nextTell } = state.quarantine;
+  const { known, leases, abandoned, nextNotification: nextTell } =
+    state.quarantine;
   const sent = listSent(state);
   const fingerprints = [
     ...new Set(
@@ -264,9 +271,13 @@
   const next = putQuarantine(state, {
     leases: new Map(over),
     abandoned: [],
-    lastJudged: judged,
-    nextTell: nextTell + 1,
-    watch: { ...watch, untold: new Set(ids), judged },
+    lastSuspectedAttempts: judged,
+    nextNotification: nextTell + 1,
+    watch: {
+      ...watch,
+      pendingNotifications: new Set(ids),
+      suspectedAttempts: judged,
+    },
   });
   const event = { type: "BackendCrashed", suspects: fingerprints.length };
   const effects: readonly NodeEffect[] = [
@@ -284,15 +295,17 @@
 /** Once all nodes have been told, whoever waits for an answer gets one. */
 function settleTold(state: NodeState, settle: SettleHeld): NodeStep {
   const { watch } = state.quarantine;
-  if (watch === undefined || watch.untold.size > 0) {
+  if (watch === undefined || watch.pendingNotifications.size > 0) {
     return createReduction(state);
   }
-  const { judged } = watch;
+  const { suspectedAttempts: judged } = watch;
   const isNew = ({ attemptId }: HeldFailure) =>
     judged?.has(attemptId) !== true && state.served.has(attemptId);
-  const later = watch.held.filter(isNew);
-  const held = watch.held.filter((failure) => !isNew(failure));
-  const rest = putQuarantine(state, { watch: { ...watch, held } });
+  const later = watch.heldFailures.filter(isNew);
+  const held = watch.heldFailures.filter((failure) => !isNew(failure));
+  const rest = putQuarantine(state, {
+    watch: { ...watch, heldFailures: held },
+  });
   const settled = settleAll(rest, settle);
   return later.length === 0
     ? settled
@@ -300,7 +313,7 @@
 }
 
 function settleAll(state: NodeState, settle: SettleHeld): NodeStep {
-  const held = state.quarantine.watch?.held ?? [];
+  const held = state.quarantine.watch?.heldFailures ?? [];
   const done = putQuarantine(state, { watch: undefined });
   return held.reduce<NodeStep>(
     (step, failure) =>
--- a/src/engine/call/common/quarantine_ledger.ts
+++ b/src/engine/call/common/quarantine_ledger.ts
@@ -7,12 +7,12 @@
 import type { Reduction } from "../../../base/common/reduction.ts";
 import {
   expireSuspects,
-  isAcquitted,
-  listUnsettled,
+  isRecentlyCleared,
+  listSuspectsToCheck,
   MAX_KNOWN_SUSPECTS,
-  noteCleared,
-  noteSuspects,
-  noteVerdict,
+  recordCleared,
+  recordSuspects,
+  recordVerdict,
 } from "../../quarantine/common/known_suspects.ts";
 import type { Announcement } from "../../membership/common/announcement.ts";
 import { QUARANTINE_PREFIX } from "../../quarantine/common/quarantine_messages.ts";
@@ -90,10 +90,10 @@
   const { nodeId, guilty } = crash;
   const { known, ledger, cleared } = state.quarantine;
   const fingerprints = crash.fingerprints.filter((one) =>
-    guilty?.includes(one) === true || !isAcquitted(cleared, one, nowMs)
+    guilty?.includes(one) === true || !isRecentlyCleared(cleared, one, nowMs)
   );
   const noted = putQuarantine(state, {
-    known: noteSuspects(known, fingerprints, nowMs),
+    known: recordSuspects(known, fingerprints, nowMs),
   });
   const room = MAX_KNOWN_SUSPECTS - ledger.suspects.size;
   const added = fingerprints.filter((fingerprint) =>
@@ -187,7 +187,7 @@
     return createReduction(state);
   }
   const byOwner = new Map<string, Fingerprint[]>();
-  for (const fingerprint of listUnsettled(known, nowMs)) {
+  for (const fingerprint of listSuspectsToCheck(known, nowMs)) {
     const owner = findOwner(state, fingerprint)?.ingress;
     if (owner === undefined || ledger.suspects.has(fingerprint)) {
       continue;
@@ -361,9 +361,9 @@
   nowMs: number,
 ): NodeState {
   const { fingerprint, isCleared } = verdict;
-  const known = noteVerdict(state.quarantine.known, verdict, nowMs);
+  const known = recordVerdict(state.quarantine.known, verdict, nowMs);
   const cleared = isCleared
-    ? noteCleared(state.quarantine.cleared, fingerprint, nowMs)
+    ? recordCleared(state.quarantine.cleared, fingerprint, nowMs)
     : deleteEntry(state.quarantine.cleared, fingerprint);
   return putQuarantine(state, { known, cleared });
 }
--- a/src/engine/call/common/quarantine_steps.ts
+++ b/src/engine/call/common/quarantine_steps.ts
@@ -129,8 +129,8 @@
     ...lease,
     phase: "ending",
     isWhole,
-    sinceMs: nowMs,
-    toldAtMs: nowMs,
+    phaseStartedAtMs: nowMs,
+    notifiedAtMs: nowMs,
   };
   return createReduction(putLease(state, attemptId, ending), [
     createEnd(state, attemptId, ending),
@@ -155,7 +155,7 @@
     ? putLease(noted, attemptId, {
       ...lease,
       phase: "lingering",
-      sinceMs: nowMs,
+      phaseStartedAtMs: nowMs,
     })
     : noted;
 }
@@ -254,8 +254,8 @@
     leaseId: undefined,
     phase: "asking",
     isWhole: false,
-    sinceMs: nowMs,
-    toldAtMs: nowMs,
+    phaseStartedAtMs: nowMs,
+    notifiedAtMs: nowMs,
   };
   const { nodeId } = state.self;
   const timeoutMs = deadlineMs - nowMs;
@@ -278,18 +278,18 @@
   lease: LocalLease,
   nowMs: number,
 ): Step {
-  const ageMs = nowMs - lease.sinceMs;
+  const ageMs = nowMs - lease.phaseStartedAtMs;
   if (lease.phase === "lingering" && ageMs >= LINGER_MS) {
     return endLease(state, attemptId, { isWhole: false, nowMs });
   }
-  if (lease.phase !== "ending" || nowMs - lease.toldAtMs < END_RETRY_MS) {
+  if (lease.phase !== "ending" || nowMs - lease.notifiedAtMs < END_RETRY_MS) {
     return createReduction(state);
   }
   if (ageMs > END_PATIENCE_MS) {
     const leases = deleteEntry(state.quarantine.leases, attemptId);
     return createReduction(putQuarantine(state, { leases }));
   }
-  const told: LocalLease = { ...lease, toldAtMs: nowMs };
+  const told: LocalLease = { ...lease, notifiedAtMs: nowMs };
   return appendEffects(
     createReduction<NodeState, NodeEffect>(putLease(state, attemptId, told)),
     createEnd(state, attemptId, told),
--- a/src/engine/quarantine/common/known_suspects.ts
+++ b/src/engine/quarantine/common/known_suspects.ts
@@ -33,7 +33,7 @@
 const CHECK_DELAY_MS = 3_000;
 
 /** Notes that a suspect was cleared; the oldest ones are forgotten. */
-export function noteCleared(
+export function recordCleared(
   cleared: ClearedSuspects,
   fingerprint: Fingerprint,
   nowMs: number,
@@ -51,7 +51,7 @@
 }
 
 /** Whether a suspect was cleared so lately that it is not suspected anew. */
-export function isAcquitted(
+export function isRecentlyCleared(
   cleared: ClearedSuspects,
   fingerprint: Fingerprint,
   nowMs: number,
@@ -62,7 +62,7 @@
 }
 
 /** Lists mere suspects that all nodes must have heard of by now. */
-export function listUnsettled(
+export function listSuspectsToCheck(
   known: KnownSuspects,
   nowMs: number,
 ): readonly Fingerprint[] {
@@ -75,7 +75,7 @@
 }
 
 /** Notes suspects; one that is in quarantine stays there. */
-export function noteSuspects(
+export function recordSuspects(
   known: KnownSuspects,
   fingerprints: readonly Fingerprint[],
   nowMs: number,
@@ -100,7 +100,7 @@
 }
 
 /** Notes what the owner decided. */
-export function noteVerdict(
+export function recordVerdict(
   known: KnownSuspects,
   verdict: Verdict,
   nowMs: number,
@@ -109,7 +109,7 @@
   if (isCleared) {
     return deleteEntry(known, fingerprint);
   }
-  const noted = noteSuspects(known, [fingerprint], nowMs);
+  const noted = recordSuspects(known, [fingerprint], nowMs);
   const quarantinedUntilMs = quarantineMs > 0 ? nowMs + quarantineMs : 0;
   const suspect = noted.get(fingerprint)!;
   return setEntry(noted, fingerprint, { ...suspect, quarantinedUntilMs });
--- a/src/engine/quarantine/common/node_quarantine.ts
+++ b/src/engine/quarantine/common/node_quarantine.ts
@@ -19,9 +19,9 @@
     | "ending";
   readonly isWhole: boolean;
   /** When this phase began, wall clock in milliseconds. */
-  readonly sinceMs: number;
+  readonly phaseStartedAtMs: number;
   /** When the owner was last told, wall clock in milliseconds. */
-  readonly toldAtMs: number;
+  readonly notifiedAtMs: number;
 }
 
 /** An attempt whose failure is held until it is known whether it crashed. */
@@ -35,11 +35,11 @@
 
 /** A failure under investigation. */
 export interface CrashWatch {
-  readonly held: readonly HeldFailure[];
+  readonly heldFailures: readonly HeldFailure[];
   /** Request ids of nodes that were not yet told; empty while probing. */
-  readonly untold: ReadonlySet<string>;
+  readonly pendingNotifications: ReadonlySet<string>;
   /** Attempts that ran at the crash; undefined while probing. */
-  readonly judged: ReadonlySet<string> | undefined;
+  readonly suspectedAttempts: ReadonlySet<string> | undefined;
 }
 
 /** A run that was given up here, while the backend server may go on. */
@@ -62,9 +62,9 @@
   readonly watch: CrashWatch | undefined;
   readonly abandoned: readonly AbandonedRun[];
   /** Attempts that ran at the last crash: they count for it alone. */
-  readonly lastJudged: ReadonlySet<string>;
+  readonly lastSuspectedAttempts: ReadonlySet<string>;
   /** Numbers the messages that it tells. */
-  readonly nextTell: number;
+  readonly nextNotification: number;
 }
 
 /** A node that has just started. */
@@ -76,6 +76,6 @@
   leases: new Map(),
   watch: undefined,
   abandoned: [],
-  lastJudged: new Set(),
-  nextTell: 0,
+  lastSuspectedAttempts: new Set(),
+  nextNotification: 0,
 };
