--- a/src/engine/quarantine/common/known_suspects.ts
+++ b/src/engine/quarantine/common/known_suspects.ts
@@ -1,38 +1,38 @@
-/** The suspects of a service as each of its nodes was told; bounded. */
+/** The suspects of a service as reported to each of its nodes; bounded. */
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 import type { Verdict } from "./quarantine_messages.ts";
 import { MAX_QUARANTINE_MS } from "./quarantine_reducer.ts";
 import type { Fingerprint } from "./quarantine_reducer.ts";
 
-/** What a node was told of one suspect. */
+/** State of one suspect, as last reported to the node. */
 export interface KnownSuspect {
-  /** Refused until then, wall clock in milliseconds; 0 for a mere suspect. */
+  /** End of its quarantine, wall clock in ms; 0 if it is not in quarantine. */
   readonly quarantinedUntilMs: number;
-  /** Forgotten then, wall clock in milliseconds. */
+  /** When the entry expires, wall clock in milliseconds. */
   readonly expiresAtMs: number;
 }
 
-/** When suspects were cleared, wall clock in milliseconds; oldest first. */
+/** Times at which suspects were cleared, wall clock in ms; oldest first. */
 export type ClearedSuspects = ReadonlyMap<Fingerprint, number>;
 
-/** In the order in which they were last told. */
+/** Known suspects in the order in which they were last reported. */
 export type KnownSuspects = ReadonlyMap<Fingerprint, KnownSuspect>;
 
-/** Most suspects that a node keeps; the oldest one goes first. */
+/** Maximum number of suspects at a node; the oldest one is evicted first. */
 export const MAX_KNOWN_SUSPECTS = 4_096;
-/** A suspect of which nothing is heard is forgotten after this. */
+/** A suspect without reports expires after this time. */
 const KNOWN_SUSPECT_TTL_MS = 2 * MAX_QUARANTINE_MS;
 
 /**
- * How long a suspect that was cleared is not suspected anew: the word of the
- * crash before may come later than the word of its owner, by one time-out of
- * a message and its resend.
+ * Time for which a cleared suspect is not suspected again. The report of the
+ * earlier crash may arrive after the owner's verdict, by up to the timeout of
+ * one message and its resend.
  */
 const CLEARED_RETENTION_MS = 5_000;
-/** A suspect that was told of so long ago is checked with its owner. */
+/** Time after its last report at which a suspect is checked with its owner. */
 const CHECK_DELAY_MS = 3_000;
 
-/** Notes that a suspect was cleared; the oldest ones are forgotten. */
+/** Records that a suspect was cleared; evicts the oldest entries. */
 export function recordCleared(
   cleared: ClearedSuspects,
   fingerprint: Fingerprint,
@@ -50,7 +50,7 @@
   return next;
 }
 
-/** Whether a suspect was cleared so lately that it is not suspected anew. */
+/** Whether a suspect was cleared too recently to be suspected again. */
 export function isRecentlyCleared(
   cleared: ClearedSuspects,
   fingerprint: Fingerprint,
@@ -61,7 +61,10 @@
     nowMs - clearedAtMs < CLEARED_RETENTION_MS;
 }
 
-/** Lists mere suspects that all nodes must have heard of by now. */
+/**
+ * Lists the suspects not in quarantine whose last report is at least
+ * `CHECK_DELAY_MS` old, so that all nodes must have received it.
+ */
 export function listSuspectsToCheck(
   known: KnownSuspects,
   nowMs: number,
@@ -74,7 +77,7 @@
     .map(([fingerprint]) => fingerprint);
 }
 
-/** Notes suspects; one that is in quarantine stays there. */
+/** Records suspects; those in quarantine remain in it. */
 export function recordSuspects(
   known: KnownSuspects,
   fingerprints: readonly Fingerprint[],
@@ -99,7 +102,7 @@
   return next;
 }
 
-/** Notes what the owner decided. */
+/** Records the verdict of the owner of a suspect. */
 export function recordVerdict(
   known: KnownSuspects,
   verdict: Verdict,
@@ -109,18 +112,18 @@
   if (isCleared) {
     return deleteEntry(known, fingerprint);
   }
-  const noted = recordSuspects(known, [fingerprint], nowMs);
+  const recorded = recordSuspects(known, [fingerprint], nowMs);
   const quarantinedUntilMs = quarantineMs > 0 ? nowMs + quarantineMs : 0;
-  const suspect = noted.get(fingerprint)!;
-  return setEntry(noted, fingerprint, { ...suspect, quarantinedUntilMs });
+  const suspect = recorded.get(fingerprint)!;
+  return setEntry(recorded, fingerprint, { ...suspect, quarantinedUntilMs });
 }
 
-/** Forgets the suspects of which nothing was heard for long. */
+/** Removes the expired suspects. */
 export function expireSuspects(
   known: KnownSuspects,
   nowMs: number,
 ): KnownSuspects {
-  // The one that was told first expires first.
+  // The suspect whose last report is the oldest expires first.
   const [oldest] = known.values();
   if (oldest === undefined || oldest.expiresAtMs > nowMs) {
     return known;
--- a/src/engine/quarantine/common/node_quarantine.ts
+++ b/src/engine/quarantine/common/node_quarantine.ts
@@ -1,73 +1,79 @@
-/** What a node keeps of suspects: its ledger, what it was told, its runs. */
+/** State of a node about suspects: its own ledger, reports, and leased runs. */
 import type { ClearedSuspects, KnownSuspects } from "./known_suspects.ts";
 import { INITIAL_QUARANTINE } from "./quarantine_reducer.ts";
 import type { Fingerprint, QuarantineState } from "./quarantine_reducer.ts";
 
-/** A suspect's lease at the node that asked for it. */
+/** The lease of a suspect, at the node that requested it. */
 export interface LocalLease {
   readonly fingerprint: Fingerprint;
   /** `host:port` of the owner's ingress. */
   readonly owner: string;
-  /** Undefined until the owner has answered. */
+  /** Undefined until the owner has replied. */
   readonly leaseId: number | undefined;
   readonly phase:
+    /** The lease was requested from the owner. */
     | "asking"
+    /** The run is in progress. */
     | "running"
-    /** Given up here; the backend server may still be at it. */
+    /** The run was abandoned here; the backend server may still execute it. */
     | "lingering"
-    /** Over; the owner is told until it says so. */
+    /** The run is over; the owner is notified until it acknowledges that. */
     | "ending";
+  /** Whether the run ended with a complete answer. */
   readonly isWhole: boolean;
-  /** When this phase began, wall clock in milliseconds. */
+  /** Start of this phase, wall clock in milliseconds. */
   readonly phaseStartedAtMs: number;
-  /** When the owner was last told, wall clock in milliseconds. */
+  /** When the owner was last notified, wall clock in milliseconds. */
   readonly notifiedAtMs: number;
 }
 
-/** An attempt whose failure is held until it is known whether it crashed. */
+/** A failed attempt, held until it is known whether the server crashed. */
 export interface HeldFailure {
   readonly attemptId: string;
   readonly reason: string;
+  /** Whether the connection to the backend server was reset. */
   readonly isReset: boolean;
-  /** Whether the head of its answer had gone out. */
+  /** Whether the head of its answer had been sent. */
   readonly isCut: boolean;
 }
 
-/** A failure under investigation. */
+/** Investigation of failures: whether the backend server crashed. */
 export interface CrashWatch {
+  /** Failures that are held until the investigation ends. */
   readonly heldFailures: readonly HeldFailure[];
-  /** Request ids of nodes that were not yet told; empty while probing. */
+  /** Ids of unacknowledged crash reports to nodes; empty while probing. */
   readonly pendingNotifications: ReadonlySet<string>;
-  /** Attempts that ran at the crash; undefined while probing. */
+  /** Ids of the attempts that ran at the crash; undefined while probing. */
   readonly suspectedAttempts: ReadonlySet<string> | undefined;
 }
 
-/** A run that was given up here, while the backend server may go on. */
+/** A run that was abandoned here; the backend server may still execute it. */
 export interface AbandonedRun {
   readonly fingerprint: Fingerprint;
-  /** Wall clock in milliseconds. */
+  /** When it no longer counts as running, wall clock in milliseconds. */
   readonly untilMs: number;
 }
 
-/** All that a node knows of suspects. */
+/** State of a node about suspects. */
 export interface NodeQuarantine {
-  /** Of the suspects that this node owns. */
+  /** State of the suspects that this node owns. */
   readonly ledger: QuarantineState;
   readonly known: KnownSuspects;
   readonly cleared: ClearedSuspects;
-  /** When owners were last asked about suspects, wall clock. */
+  /** When owners were last queried about suspects, wall clock in ms. */
   readonly checkedAtMs: number;
   /** By attempt id. */
   readonly leases: ReadonlyMap<string, LocalLease>;
+  /** Undefined while no failure is investigated. */
   readonly watch: CrashWatch | undefined;
   readonly abandoned: readonly AbandonedRun[];
-  /** Attempts that ran at the last crash: they count for it alone. */
+  /** Ids of the attempts at the last crash; they count for that crash only. */
   readonly lastSuspectedAttempts: ReadonlySet<string>;
-  /** Numbers the messages that it tells. */
+  /** Sequence number of the next crash report. */
   readonly nextNotification: number;
 }
 
-/** A node that has just started. */
+/** State of a node when it starts. */
 export const INITIAL_NODE_QUARANTINE: NodeQuarantine = {
   ledger: INITIAL_QUARANTINE,
   known: new Map(),
--- a/src/engine/quarantine/common/quarantine_messages.ts
+++ b/src/engine/quarantine/common/quarantine_messages.ts
@@ -1,53 +1,53 @@
-/** Messages between the nodes of one service about suspects. */
+/** Messages about suspects between the nodes of one service. */
 import type { Fingerprint } from "./quarantine_reducer.ts";
 
-/** What is told or asked. */
+/** A notification or query about suspects. */
 export type QuarantineMessage =
-  /** A backend server died; told to all nodes of its service. */
+  /** Reports the crash of a backend server to all nodes of its service. */
   | {
     readonly type: "TellSuspects";
-    /** Of the node beside the backend server. */
+    /** Id of the node beside the backend server. */
     readonly nodeId: string;
-    /** What ran at the time. */
+    /** Requests that ran at the time of the crash. */
     readonly fingerprints: readonly Fingerprint[];
-    /** The sole known suspect among them, if there was exactly one. */
+    /** The known suspect among them, if there is exactly one; else empty. */
     readonly guilty: readonly Fingerprint[];
   }
-  /** Asks the owner of a suspect whether it may run. */
+  /** Requests a lease for a run of a suspect from its owner. */
   | {
     readonly type: "RequestRun";
     readonly nodeId: string;
     readonly fingerprint: Fingerprint;
-    /** Longest time of the run, in milliseconds. */
+    /** Maximum duration of the run, in milliseconds. */
     readonly timeoutMs: number;
   }
-  /** A leased run is over, and the backend server lives. */
+  /** Reports the end of a leased run that did not crash the backend server. */
   | {
     readonly type: "EndRun";
     readonly nodeId: string;
     readonly fingerprint: Fingerprint;
-    /** Undefined where the answer with the lease was lost. */
+    /** Undefined if the reply that granted the lease was lost. */
     readonly leaseId: number | undefined;
-    /** Whether it came to a whole answer; else it proves nothing. */
+    /** Whether the answer was complete; otherwise the run proves nothing. */
     readonly isWhole: boolean;
   }
-  /** Asks the owner which of these it has cleared: its word may be lost. */
+  /** Asks the owner which suspects it has cleared, as verdicts may be lost. */
   | {
     readonly type: "CheckSuspects";
     readonly fingerprints: readonly Fingerprint[];
   }
-  /** What the owner decided; told to all nodes, and to one that joins. */
+  /** Sends verdicts of the owner to all nodes, or to a node that joins. */
   | { readonly type: "TellVerdicts"; readonly verdicts: readonly Verdict[] };
 
-/** How a suspect stands. */
+/** Decision of the owner on a suspect. */
 export interface Verdict {
   readonly fingerprint: Fingerprint;
   readonly isCleared: boolean;
-  /** Rest of the quarantine, in milliseconds; 0 for a mere suspect. */
+  /** Remaining quarantine in milliseconds; 0 if it is not in quarantine. */
   readonly quarantineMs: number;
 }
 
-/** The answers. */
+/** A reply to a `QuarantineMessage`. */
 export type QuarantineReply =
   | { readonly type: "SuspectsNoted" }
   | {
@@ -61,8 +61,8 @@
     readonly retryAfterMs: number;
   };
 
-/** Longest wait for another node's reply, in milliseconds. */
+/** Timeout of another node's reply, in milliseconds. */
 export const QUARANTINE_TIMEOUT_MS = 1_000;
 
-/** Request ids of this area begin with this. */
+/** Prefix of the request ids of these messages. */
 export const QUARANTINE_PREFIX = "quarantine/";
--- a/src/engine/quarantine/common/quarantine_reducer.ts
+++ b/src/engine/quarantine/common/quarantine_reducer.ts
@@ -1,12 +1,16 @@
-/** The one place that decides on suspects: who may run them, and until when. */
+/**
+ * Decisions of the owner of suspects: which node may run one, and when one is
+ * quarantined or cleared. A suspect is a request that ran when a backend server
+ * crashed.
+ */
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { Reduction } from "../../../base/common/reduction.ts";
 
-/** A kind of request with its key or digest; never the id of a request. */
+/** Identifies equal requests by kind and key or digest, not by request id. */
 export type Fingerprint = string;
 
-/** Permission for one run of a suspect on one node. */
+/** Permission for one run of a suspect at one node. */
 export interface RunLease {
   readonly nodeId: string;
   readonly leaseId: number;
@@ -14,33 +18,35 @@
   readonly endsAtMs: number;
 }
 
-/** A request that ran when a backend server died. */
+/** State of a request that ran when a backend server crashed. */
 export interface Suspect {
+  /** Undefined while no node may run it. */
   readonly lease: RunLease | undefined;
-  /** Refused until then; 0 before the second crash. */
+  /** End of the quarantine, wall clock in ms; 0 before the second crash. */
   readonly quarantinedUntilMs: number;
-  /** Quarantines so far: each doubles the next. */
+  /** Number of quarantines; each one doubles the length of the next. */
   readonly quarantineCount: number;
-  /** Forgotten when nobody asked for so long. */
+  /** When it was last suspected, quarantined or leased, wall clock in ms. */
   readonly seenAtMs: number;
 }
 
-/** The suspects that this node decides on. */
+/** State of the suspects that this node owns. */
 export interface QuarantineState {
   readonly suspects: ReadonlyMap<Fingerprint, Suspect>;
   readonly nextLeaseId: number;
 }
 
-/** What happens to suspects. */
+/** An event about suspects. */
 export type QuarantineEvent =
   | {
     readonly type: "BackendCrashed";
     readonly nodeId: string;
-    /** What the backend server was running. */
+    /** Requests that the backend server was running. */
     readonly fingerprints: readonly Fingerprint[];
     /**
-     * The sole suspect among them, where the node knows what else ran: with
-     * one culprit, it is in both crashes. Left out: whoever ran by a lease.
+     * The only suspect among them, if the node knows all that ran: a single
+     * culprit is part of both crashes. If undefined, a suspect that ran by a
+     * lease of the node is guilty.
      */
     readonly guilty?: readonly Fingerprint[];
   }
@@ -49,31 +55,31 @@
     readonly askId: number;
     readonly nodeId: string;
     readonly fingerprint: Fingerprint;
-    /** Longest time of the run, in milliseconds. */
+    /** Maximum duration of the run, in milliseconds. */
     readonly timeoutMs: number;
   }
-  /** The run came to a whole answer, and the backend server lives. */
+  /** The run ended with a complete answer and without a crash. */
   | {
     readonly type: "RunFinished";
     readonly fingerprint: Fingerprint;
     readonly leaseId: number;
   }
-  /** The lease is given back: the run was never begun, or given up. */
+  /** The lease is returned: the run did not begin, or was abandoned. */
   | {
     readonly type: "RunWithdrawn";
     readonly nodeId: string;
     readonly fingerprint: Fingerprint;
-    /** Undefined where it is not known; any lease of the node then. */
+    /** Undefined if it is unknown; then it stands for any lease of the node. */
     readonly leaseId: number | undefined;
   }
   | { readonly type: "Ticked" };
 
-/** Answers to those that asked, and what all nodes are told. */
+/** A reply to a requesting node, or a notification to all nodes. */
 export type QuarantineEffect =
   | {
     readonly type: "GrantRun";
     readonly askId: number;
-    /** Undefined where the request is no suspect. */
+    /** Undefined if the request is not a suspect, and needs no lease. */
     readonly leaseId: number | undefined;
   }
   | {
@@ -90,26 +96,27 @@
   }
   | { readonly type: "PublishCleared"; readonly fingerprint: Fingerprint };
 
-/** A step of the suspects. */
+/** A step of the reducer. */
 export type QuarantineStep = Reduction<QuarantineState, QuarantineEffect>;
 
-/** First quarantine; each later one of a request is twice as long. */
+/** First quarantine of a request; each later one is twice as long. */
 export const QUARANTINE_MS = 600_000;
-/** Longest quarantine. */
+/** Maximum quarantine. */
 export const MAX_QUARANTINE_MS = 24 * 3_600_000;
-/** A node that says nothing for so long after its lease lost its run. */
+/** Time after the end of a run at which a lease without a report expires. */
 const LEASE_GRACE_MS = 5_000;
-/** A suspect of which nothing is heard is forgotten after this. */
+/** A suspect that is not updated expires after this time. */
 const SUSPECT_TTL_MS = 2 * MAX_QUARANTINE_MS;
+/** Delay before another node may retry a suspect that is running. */
 const BUSY_RETRY_MS = 1_000;
 
-/** No suspects. */
+/** State without suspects. */
 export const INITIAL_QUARANTINE: QuarantineState = {
   suspects: new Map(),
   nextLeaseId: 1,
 };
 
-/** Steps the suspects; `nowMs` is the wall clock in milliseconds. */
+/** Applies an event; `nowMs` is the wall clock in milliseconds. */
 export function reduceQuarantine(
   state: QuarantineState,
   event: QuarantineEvent,
@@ -130,9 +137,9 @@
 }
 
 /**
- * All that ran becomes suspect. A suspect that ran by a lease of the node
- * whose backend server died is guilty, unless the node says that another
- * suspect, which had been there before, ran beside it.
+ * Makes all requests that ran suspects. A suspect that ran by a lease of the
+ * node whose backend server crashed is guilty, unless the node reports the
+ * guilty ones: another earlier suspect may have run at the same time.
  */
 function recordCrash(
   state: QuarantineState,
@@ -167,10 +174,10 @@
 
 function requestRun(
   state: QuarantineState,
-  asked: Extract<QuarantineEvent, { type: "RunRequested" }>,
+  event: Extract<QuarantineEvent, { type: "RunRequested" }>,
   nowMs: number,
 ): QuarantineStep {
-  const { askId, fingerprint, nodeId, timeoutMs } = asked;
+  const { askId, fingerprint, nodeId, timeoutMs } = event;
   const suspect = state.suspects.get(fingerprint);
   if (suspect === undefined) {
     return createReduction(state, [
@@ -216,7 +223,7 @@
   ]);
 }
 
-/** Ends a lease that proved nothing: the suspect stays one. */
+/** Ends a lease whose run proved nothing; the suspect remains one. */
 function withdrawRun(
   state: QuarantineState,
   run: Extract<QuarantineEvent, { type: "RunWithdrawn" }>,
@@ -229,12 +236,15 @@
   if (suspect === undefined || !isSame) {
     return createReduction(state);
   }
-  const freed: Suspect = { ...suspect, lease: undefined };
-  const suspects = setEntry(state.suspects, fingerprint, freed);
+  const released: Suspect = { ...suspect, lease: undefined };
+  const suspects = setEntry(state.suspects, fingerprint, released);
   return createReduction({ ...state, suspects });
 }
 
-/** A lease that ran out without a word counts as a crash: its node is gone. */
+/**
+ * Expires leases and suspects. A lease that expires without a report counts as
+ * a crash, as its node must have failed.
+ */
 function expireLeases(state: QuarantineState, nowMs: number): QuarantineStep {
   let { suspects } = state;
   const effects: QuarantineEffect[] = [];
--- a/src/engine/quarantine/test/quarantine_test.ts
+++ b/src/engine/quarantine/test/quarantine_test.ts
@@ -1,4 +1,4 @@
-/** Suspects: one run at a time, quarantine of the guilty, innocents cleared. */
+/** Suspects run one at a time; guilty ones are quarantined, others cleared. */
 import { expect } from "chai";
 import fc from "fast-check";
 import {
@@ -16,6 +16,7 @@
 const INNOCENT = "photo-batch|d2";
 const TIMEOUT_MS = 1_000;
 
+/** Applies events to the reducer at a settable time. */
 class Ledger {
   state: QuarantineState = INITIAL_QUARANTINE;
   nowMs = 0;
@@ -26,7 +27,7 @@
     return step.effects;
   }
 
-  ask(nodeId: string, fingerprint: string): QuarantineEffect {
+  requestRun(nodeId: string, fingerprint: string): QuarantineEffect {
     return this.apply({
       type: "RunRequested",
       askId: 1,
@@ -42,36 +43,36 @@
 }
 
 describe("quarantine", () => {
-  it("asks nothing of a request that nobody suspects", () => {
+  it("grants a request that is not a suspect without a lease", () => {
     const ledger = new Ledger();
     const granted = { type: "GrantRun", askId: 1, leaseId: undefined };
-    expect(ledger.ask("n-1", INNOCENT)).to.deep.equal(granted);
+    expect(ledger.requestRun("n-1", INNOCENT)).to.deep.equal(granted);
   });
 
-  it("grants a suspect to one node, however many ask at a time", () => {
+  it("grants a suspect to one node at a time", () => {
     const ledger = new Ledger();
     ledger.crash("n-1", GUILTY, INNOCENT);
-    expect(ledger.ask("n-2", GUILTY).type).to.equal("GrantRun");
+    expect(ledger.requestRun("n-2", GUILTY).type).to.equal("GrantRun");
     for (const nodeId of ["n-2", "n-3", "n-4"]) {
-      expect(ledger.ask(nodeId, GUILTY)).to.include({
+      expect(ledger.requestRun(nodeId, GUILTY)).to.include({
         type: "RefuseRun",
         reason: "suspect_runs",
       });
     }
-    expect(ledger.ask("n-3", INNOCENT).type).to.equal("GrantRun");
+    expect(ledger.requestRun("n-3", INNOCENT).type).to.equal("GrantRun");
   });
 
   it("quarantines after the second crash, for longer each time", () => {
     const ledger = new Ledger();
     ledger.crash("n-1", GUILTY);
     for (const lengthMs of [QUARANTINE_MS, 2 * QUARANTINE_MS]) {
-      ledger.ask("n-2", GUILTY);
+      ledger.requestRun("n-2", GUILTY);
       ledger.crash("n-2", GUILTY, "bystander");
-      expect(ledger.ask("n-3", GUILTY)).to.include({
+      expect(ledger.requestRun("n-3", GUILTY)).to.include({
         reason: "quarantined",
         retryAfterMs: lengthMs,
       });
-      const granted = ledger.ask("n-3", "bystander");
+      const granted = ledger.requestRun("n-3", "bystander");
       expect(granted.type).to.equal("GrantRun");
       const { leaseId } = granted as { leaseId: number };
       const fingerprint = "bystander";
@@ -80,10 +81,10 @@
     }
   });
 
-  it("clears what ran whole, but not by an old lease", () => {
+  it("clears a suspect after a complete run, not by another lease", () => {
     const ledger = new Ledger();
     ledger.crash("n-1", INNOCENT);
-    const effect = ledger.ask("n-2", INNOCENT);
+    const effect = ledger.requestRun("n-2", INNOCENT);
     const leaseId = (effect as { leaseId: number }).leaseId;
     const finished = { type: "RunFinished", fingerprint: INNOCENT } as const;
     ledger.apply({ ...finished, leaseId: leaseId + 1 });
@@ -92,16 +93,18 @@
     expect(ledger.state.suspects.size).to.equal(0);
   });
 
-  it("takes a node that fell silent with its lease for crashed", () => {
+  it("counts a lease that expires without a report as a crash", () => {
     const ledger = new Ledger();
     ledger.crash("n-1", GUILTY);
-    ledger.ask("n-2", GUILTY);
+    ledger.requestRun("n-2", GUILTY);
     ledger.nowMs += 60_000;
     ledger.apply({ type: "Ticked" });
-    expect(ledger.ask("n-3", GUILTY)).to.include({ reason: "quarantined" });
+    expect(ledger.requestRun("n-3", GUILTY)).to.include({
+      reason: "quarantined",
+    });
   });
 
-  it("loses two to one request, resent anywhere in any order", () => {
+  it("loses at most two backend servers to one request", () => {
     const ids = fc.constantFrom("n-1", "n-2", "n-3", "n-4");
     const request = fc.record({
       nodeId: ids,
@@ -112,16 +115,16 @@
       fc.property(fc.array(request, { maxLength: 60 }), (requests) => {
         const ledger = new Ledger();
         ledger.crash("n-1", GUILTY, INNOCENT);
-        let lost = 1;
+        let crashCount = 1;
         for (const { nodeId, isGuilty, isSlow } of requests) {
           ledger.nowMs += 10;
           const fingerprint = isGuilty ? GUILTY : INNOCENT;
-          const effect = ledger.ask(nodeId, fingerprint);
+          const effect = ledger.requestRun(nodeId, fingerprint);
           if (effect.type !== "GrantRun" || isSlow) {
             continue;
           }
           if (isGuilty) {
-            lost += 1;
+            crashCount += 1;
             ledger.crash(nodeId, GUILTY);
           } else if (effect.leaseId !== undefined) {
             const { leaseId } = effect;
@@ -129,7 +132,7 @@
           }
         }
         const innocent = ledger.state.suspects.get(INNOCENT);
-        expect(lost).to.be.at.most(2);
+        expect(crashCount).to.be.at.most(2);
         expect(innocent?.quarantinedUntilMs ?? 0).to.equal(0);
       }),
       { seed: 8 },
