--- a/src/engine/admission/common/admission_types.ts
+++ b/src/engine/admission/common/admission_types.ts
@@ -16,7 +16,7 @@
    * Orders root requests of one importance, higher first; unsigned 32-bit.
    */
   readonly admissionHash: number;
-  /** Calls between the root request and this one; 0 for a root request. */
+  /** Number of calls above it in the call tree; 0 for a root request. */
   readonly depth: number;
   /** Wall clock in milliseconds. */
   readonly deadlineMs: number;
--- a/src/engine/admission/common/call_tree.ts
+++ b/src/engine/admission/common/call_tree.ts
@@ -47,7 +47,10 @@
  * runs make.
  */
 const MIN_NESTED_SHARE = 0.4;
-/** Below this share, no calls count as the backend server's. */
+/**
+ * Below this share, if it is certain, no calls count as the backend server's,
+ * regardless of the spread of callers.
+ */
 const MAX_ROOT_SHARE = 0.1;
 /**
  * A route whose runs make less than this share of a callee's calls, within the
