--- a/src/engine/admission/common/admission_reducer.ts
+++ b/src/engine/admission/common/admission_reducer.ts
@@ -1,22 +1,22 @@
-/** Decides at the backend server's node which requests run, wait or go. */
+/** Decides which requests a backend server runs, queues or refuses. */
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 import {
   chainReduction,
   createReduction,
 } from "../../../base/common/reduction.ts";
 import {
-  findKind,
-  hasRoom,
-  isHopeless,
-  updateKind,
+  getKindState,
+  hasFreeCapacity,
+  hasInsufficientTime,
+  updateKindState,
 } from "./admission_capacity.ts";
 import { isBelowLevel } from "./admission_level.ts";
 import {
   BUSY_INTERVAL_MS,
-  cutWait,
   expireQueued,
   refuseRequest,
   runQueued,
+  shedLateRequests,
   trimQueue,
 } from "./admission_queue.ts";
 import type { AdmissionStep } from "./admission_queue.ts";
@@ -27,21 +27,25 @@
   KindState,
   RunningRequest,
 } from "./admission_types.ts";
-import { createLimit, noteSlowdown, updateLimit } from "./concurrency_limit.ts";
 import {
-  INITIAL_LEVEL,
-  noteArrival,
-  readLevel,
+  createLimit,
+  recordSlowdown,
+  updateLimit,
+} from "./concurrency_limit.ts";
+import {
+  getCurrentLevel,
+  INITIAL_LEVEL_CONTROL,
+  recordArrival,
   updateLevel,
 } from "./level_control.ts";
-import { INITIAL_RAMP, noteRun, startRamp } from "./ramp.ts";
+import { INITIAL_RAMP, recordRunResult, startRamp } from "./ramp.ts";
 import { checkRate } from "./rate_limit.ts";
-import { computeSlowdown, noteLatency } from "./service_time.ts";
+import { computeSlowdown, recordLatency } from "./service_time.ts";
 
-/** A kind that no request uses for so long is forgotten. */
+/** The state of a kind that was not used for this long is evicted. */
 const KIND_TTL_MS = 600_000;
 
-/** Creates the admission of a backend server that runs `slots` at a time. */
+/** Creates the state for a backend server that announced `slots`. */
 export function createAdmission(slots: number): AdmissionState {
   return {
     slots,
@@ -52,11 +56,11 @@
     busySinceMs: undefined,
     limit: createLimit(slots),
     ramp: INITIAL_RAMP,
-    level: INITIAL_LEVEL,
+    level: INITIAL_LEVEL_CONTROL,
   };
 }
 
-/** Steps the admission. */
+/** Applies an event at `nowMs`, wall clock in milliseconds. */
 export function reduceAdmission(
   state: AdmissionState,
   event: AdmissionEvent,
@@ -65,8 +69,8 @@
   const ramp = startRamp(state.ramp, nowMs);
   const step = applyEvent({ ...state, ramp }, event, nowMs);
   const { queue, busySinceMs } = step.state;
-  const since = queue.length === 0 ? undefined : busySinceMs ?? nowMs;
-  return { ...step, state: { ...step.state, busySinceMs: since } };
+  const nextBusySinceMs = queue.length === 0 ? undefined : busySinceMs ?? nowMs;
+  return { ...step, state: { ...step.state, busySinceMs: nextBusySinceMs } };
 }
 
 function applyEvent(
@@ -78,13 +82,15 @@
     case "RequestArrived":
       return admitRequest(state, event.request, nowMs);
     case "RequestAnswered":
-      return createReduction(noteAnswer(state, event, nowMs));
+      return createReduction(recordAnswer(state, event, nowMs));
     case "RequestFinished":
       return finishRequest(state, event, nowMs);
     case "RequestWithdrawn":
       return createReduction({
         ...state,
-        queue: state.queue.filter((q) => q.attemptId !== event.attemptId),
+        queue: state.queue.filter((queued) =>
+          queued.attemptId !== event.attemptId
+        ),
       });
     case "Ticked":
       return applyTick(state, nowMs);
@@ -97,24 +103,27 @@
   nowMs: number,
 ): AdmissionStep {
   const { attemptId, row } = request;
-  const level = readLevel(state.level);
+  const level = getCurrentLevel(state.level);
   const isBelow = level !== undefined && isBelowLevel(request, level);
   const counted = isBelow
     ? state
-    : { ...state, level: noteArrival(state.level, request.importance) };
-  if (isHopeless(counted, request, nowMs)) {
+    : { ...state, level: recordArrival(state.level, request.importance) };
+  if (hasInsufficientTime(counted, request, nowMs)) {
     return refuseRequest(counted, attemptId, "deadline");
   }
-  // Work already invested isn't thrown away while the queue has a place.
-  if (isBelow && request.depth === 0 && !hasRoom(counted, request, nowMs)) {
+  // Downstream calls may still be queued: refusing them would waste the work
+  // already done for their root requests.
+  if (
+    isBelow && request.depth === 0 && !hasFreeCapacity(counted, request, nowMs)
+  ) {
     return refuseRequest(counted, attemptId, "level");
   }
-  const { theoreticalMs } = findKind(counted, row.kind);
+  const { theoreticalMs } = getKindState(counted, row.kind);
   const check = checkRate(theoreticalMs, row.rate, nowMs);
   if (check.type === "Exceeds") {
     return refuseRequest(counted, attemptId, "rate", check.waitMs);
   }
-  const charged = updateKind(counted, row.kind, {
+  const charged = updateKindState(counted, row.kind, {
     usedAtMs: nowMs,
     theoreticalMs: check.theoreticalMs,
   });
@@ -123,12 +132,12 @@
   return chainReduction(step, (s) => trimQueue(s, request, nowMs));
 }
 
-function noteAnswer(
+function recordAnswer(
   state: AdmissionState,
-  answered: { readonly attemptId: string; readonly downstreamMs?: number },
+  event: { readonly attemptId: string; readonly downstreamMs?: number },
   nowMs: number,
 ): AdmissionState {
-  const { attemptId, downstreamMs = 0 } = answered;
+  const { attemptId, downstreamMs = 0 } = event;
   const run = state.running.get(attemptId);
   if (run === undefined || run.isAnswered) {
     return state;
@@ -138,102 +147,108 @@
     isAnswered: true,
   });
   const latencyMs = nowMs - run.startedAtMs;
-  // What it waited for others says nothing of this backend server's load.
+  // The wait for downstream calls says nothing about the load of this
+  // backend server.
   const ownMs = latencyMs - downstreamMs;
-  const { time } = findKind(state, run.kind);
-  const next = noteDelay(state, run, ownMs);
-  return updateKind(
+  const { time } = getKindState(state, run.kind);
+  const limited = recordRunSlowdown(state, run, ownMs);
+  return updateKindState(
     {
-      ...next,
+      ...limited,
       running,
-      ramp: noteRun(state.ramp, true, nowMs),
+      ramp: recordRunResult(state.ramp, true, nowMs),
     },
     run.kind,
-    { time: noteLatency(time, { latencyMs, ownMs }, nowMs) },
+    { time: recordLatency(time, { latencyMs, ownMs }, nowMs) },
   );
 }
 
 function finishRequest(
   state: AdmissionState,
-  finished: Extract<AdmissionEvent, { type: "RequestFinished" }>,
+  event: Extract<AdmissionEvent, { type: "RequestFinished" }>,
   nowMs: number,
 ): AdmissionStep {
-  const { attemptId } = finished;
+  const { attemptId } = event;
   const run = state.running.get(attemptId);
   if (run === undefined) {
     return createReduction(state);
   }
-  const noted = run.isAnswered
+  const recorded = run.isAnswered
     ? state
-    : noteUnanswered(state, run, finished, nowMs);
+    : recordUnanswered(state, run, event, nowMs);
   const running = deleteEntry(state.running, attemptId);
-  return runQueued({ ...noted, running }, nowMs);
+  return runQueued({ ...recorded, running }, nowMs);
 }
 
-/** A run without an answer says at least how long the answer didn't come. */
-function noteUnanswered(
+/**
+ * Records a run that ended without an answer. Its elapsed time is a lower
+ * bound of the latency, and counts only if that alone is a slowdown.
+ */
+function recordUnanswered(
   state: AdmissionState,
   run: RunningRequest,
-  finished: Extract<AdmissionEvent, { type: "RequestFinished" }>,
+  event: Extract<AdmissionEvent, { type: "RequestFinished" }>,
   nowMs: number,
 ): AdmissionState {
-  const { result, downstreamMs = 0 } = finished;
+  const { result, downstreamMs = 0 } = event;
   if (result === "failed") {
-    return { ...state, ramp: noteRun(state.ramp, false, nowMs) };
+    return { ...state, ramp: recordRunResult(state.ramp, false, nowMs) };
   }
   const elapsedMs = nowMs - run.startedAtMs - downstreamMs;
-  const { time } = findKind(state, run.kind);
+  const { time } = getKindState(state, run.kind);
   const isSlow = (computeSlowdown(time, elapsedMs) ?? 0) > 1;
-  return isSlow ? noteDelay(state, run, elapsedMs) : state;
+  return isSlow ? recordRunSlowdown(state, run, elapsedMs) : state;
 }
 
-function noteDelay(
+function recordRunSlowdown(
   state: AdmissionState,
   run: RunningRequest,
   latencyMs: number,
 ): AdmissionState {
-  const { time } = findKind(state, run.kind);
+  const { time } = getKindState(state, run.kind);
   const slowdown = computeSlowdown(time, latencyMs);
   return slowdown === undefined
     ? state
-    : { ...state, limit: noteSlowdown(state.limit, slowdown) };
+    : { ...state, limit: recordSlowdown(state.limit, slowdown) };
 }
 
 function applyTick(state: AdmissionState, nowMs: number): AdmissionStep {
   const { slots, running, queue } = state;
   const isIdle = running.size === 0;
   const limit = updateLimit(state.limit, { slots, isIdle, nowMs });
-  const moved: AdmissionState = {
+  const updated: AdmissionState = {
     ...state,
     limit,
-    kinds: forgetKinds(state.kinds, nowMs),
+    kinds: evictIdleKinds(state.kinds, nowMs),
   };
-  const next = isIdle && queue.length === 0 ? clearTags(moved) : moved;
-  const ran = chainReduction(
+  const next = isIdle && queue.length === 0
+    ? resetFinishTags(updated)
+    : updated;
+  const started = chainReduction(
     expireQueued(next, nowMs),
     (s) => runQueued(s, nowMs),
   );
-  const cut = chainReduction(ran, (s) => cutWait(s, nowMs));
+  const shed = chainReduction(started, (s) => shedLateRequests(s, nowMs));
   const { busySinceMs } = state;
-  const isStanding = queue.length > 0 &&
+  const hasStandingQueue = queue.length > 0 &&
     nowMs - (busySinceMs ?? nowMs) >= BUSY_INTERVAL_MS;
-  const level = updateLevel(cut.state.level, isStanding);
-  return { ...cut, state: { ...cut.state, level } };
+  const level = updateLevel(shed.state.level, hasStandingQueue);
+  return { ...shed, state: { ...shed.state, level } };
 }
 
-function forgetKinds(
+function evictIdleKinds(
   kinds: AdmissionState["kinds"],
   nowMs: number,
 ): AdmissionState["kinds"] {
-  const oldest = nowMs - KIND_TTL_MS;
-  const isStale = (kind: KindState) => kind.usedAtMs < oldest;
-  return [...kinds.values()].some(isStale)
-    ? new Map([...kinds].filter(([, kind]) => !isStale(kind)))
+  const minUsedAtMs = nowMs - KIND_TTL_MS;
+  const isIdle = (kind: KindState) => kind.usedAtMs < minUsedAtMs;
+  return [...kinds.values()].some(isIdle)
+    ? new Map([...kinds].filter(([, kind]) => !isIdle(kind)))
     : kinds;
 }
 
-/** An idle backend server owes no kind anything. */
-function clearTags(state: AdmissionState): AdmissionState {
+/** Resets the fair queue of an idle backend server. */
+function resetFinishTags(state: AdmissionState): AdmissionState {
   if (state.virtualMs === 0) {
     return state;
   }
--- a/src/engine/call/common/crash_steps.ts
+++ b/src/engine/call/common/crash_steps.ts
@@ -71,7 +71,7 @@
 ): NodeStep {
   const { attemptId, isSent, reason, isReset = false } = failure;
   const isJudged = state.quarantine.watch === undefined &&
-    state.quarantine.lastJudged.has(attemptId);
+    state.quarantine.lastSuspectedAttempts.has(attemptId);
   if (isSent && !isJudged) {
     return retainFailure(state, { attemptId, reason, isReset, isCut: false });
   }
@@ -91,9 +91,9 @@
   if (watch === undefined) {
     return startCrashWatch(state, [failure]);
   }
-  const held = [...watch.held, failure];
+  const held = [...watch.heldFailures, failure];
   return createReduction(
-    putQuarantine(state, { watch: { ...watch, held } }),
+    putQuarantine(state, { watch: { ...watch, heldFailures: held } }),
   );
 }
 
@@ -108,7 +108,7 @@
   deps: ServedDeps,
 ): NodeStep {
   const { watch } = state.quarantine;
-  if (watch === undefined || watch.judged !== undefined) {
+  if (watch === undefined || watch.suspectedAttempts !== undefined) {
     return createReduction(state);
   }
   if (!isAlive || isEveryRunReset(state, watch)) {
@@ -117,7 +117,7 @@
       (next) => settleNotified(next, settle),
     );
   }
-  const released = watch.held.reduce<NodeStep>(
+  const released = watch.heldFailures.reduce<NodeStep>(
     (step, { attemptId }) =>
       chainReduction(
         step,
@@ -156,12 +156,14 @@
     );
   }
   const { watch } = state.quarantine;
-  if (watch?.untold.has(requestId) !== true) {
+  if (watch?.pendingNotifications.has(requestId) !== true) {
     return createReduction(state);
   }
-  const untold = new Set(watch.untold);
-  untold.delete(requestId);
-  const next = putQuarantine(state, { watch: { ...watch, untold } });
+  const pendingNotifications = new Set(watch.pendingNotifications);
+  pendingNotifications.delete(requestId);
+  const next = putQuarantine(state, {
+    watch: { ...watch, pendingNotifications },
+  });
   return settleNotified(next, settle);
 }
 
@@ -183,7 +185,7 @@
     const granted = { ...lease, leaseId, phase: "running" } as const;
     const { fingerprint } = lease;
     const run = sendServed(
-      putLease(state, attemptId, { ...granted, sinceMs: nowMs }),
+      putLease(state, attemptId, { ...granted, phaseStartedAtMs: nowMs }),
       attemptId,
       deps,
     );
@@ -233,7 +235,11 @@
   state: NodeState,
   held: readonly HeldFailure[],
 ): NodeStep {
-  const watch: CrashWatch = { held, untold: new Set(), judged: undefined };
+  const watch: CrashWatch = {
+    heldFailures: held,
+    pendingNotifications: new Set(),
+    suspectedAttempts: undefined,
+  };
   return createReduction(putQuarantine(state, { watch }), [
     { type: "ProbeBackend", address: state.backendAddress },
   ]);
@@ -244,9 +250,9 @@
  * and has already restarted.
  */
 function isEveryRunReset(state: NodeState, watch: CrashWatch): boolean {
-  const failed = new Set(watch.held.map(({ attemptId }) => attemptId));
+  const failed = new Set(watch.heldFailures.map(({ attemptId }) => attemptId));
   return failed.size >= MIN_SIMULTANEOUS_RESETS &&
-    watch.held.every(({ isReset }) => isReset) &&
+    watch.heldFailures.every(({ isReset }) => isReset) &&
     listInFlight(state).every(({ attemptId }) => failed.has(attemptId));
 }
 
@@ -255,9 +261,9 @@
  * except those that a crash was already attributed to.
  */
 function listInFlight(state: NodeState): readonly ServedCall[] {
-  const { lastJudged } = state.quarantine;
+  const { lastSuspectedAttempts } = state.quarantine;
   return [...state.served.values()].filter((call) =>
-    !isUnsent(state, call) && !lastJudged.has(call.attemptId)
+    !isUnsent(state, call) && !lastSuspectedAttempts.has(call.attemptId)
   );
 }
 
@@ -270,7 +276,7 @@
   watch: CrashWatch,
   nowMs: number,
 ): NodeStep {
-  const { known, leases, abandoned, nextTell } = state.quarantine;
+  const { known, leases, abandoned, nextNotification } = state.quarantine;
   const sent = listInFlight(state);
   const fingerprints = [
     ...new Set(
@@ -288,19 +294,23 @@
     .filter((peer) => peer.nodeId !== nodeId)
     .slice(0, MAX_NOTIFIED_PEERS);
   const ids = peers.map((peer) =>
-    `${CRASH_NOTICE_PREFIX}${nextTell}/${peer.nodeId}`
+    `${CRASH_NOTICE_PREFIX}${nextNotification}/${peer.nodeId}`
   );
   const crash = { nodeId, fingerprints, guilty };
   const remaining = [...leases].filter(([, { phase }]) =>
     phase !== "running" && phase !== "lingering"
   );
-  const judged = new Set(sent.map(({ attemptId }) => attemptId));
+  const suspectedAttempts = new Set(sent.map(({ attemptId }) => attemptId));
   const next = putQuarantine(state, {
     leases: new Map(remaining),
     abandoned: [],
-    lastJudged: judged,
-    nextTell: nextTell + 1,
-    watch: { ...watch, untold: new Set(ids), judged },
+    lastSuspectedAttempts: suspectedAttempts,
+    nextNotification: nextNotification + 1,
+    watch: {
+      ...watch,
+      pendingNotifications: new Set(ids),
+      suspectedAttempts,
+    },
   });
   const event = { type: "BackendCrashed", suspects: fingerprints.length };
   const effects: readonly NodeEffect[] = [
@@ -324,15 +334,17 @@
  */
 function settleNotified(state: NodeState, settle: SettleHeldFailure): NodeStep {
   const { watch } = state.quarantine;
-  if (watch === undefined || watch.untold.size > 0) {
+  if (watch === undefined || watch.pendingNotifications.size > 0) {
     return createReduction(state);
   }
-  const { judged } = watch;
+  const { suspectedAttempts } = watch;
   const isNew = ({ attemptId }: HeldFailure) =>
-    judged?.has(attemptId) !== true && state.served.has(attemptId);
-  const newer = watch.held.filter(isNew);
-  const held = watch.held.filter((failure) => !isNew(failure));
-  const rest = putQuarantine(state, { watch: { ...watch, held } });
+    suspectedAttempts?.has(attemptId) !== true && state.served.has(attemptId);
+  const newer = watch.heldFailures.filter(isNew);
+  const held = watch.heldFailures.filter((failure) => !isNew(failure));
+  const rest = putQuarantine(state, {
+    watch: { ...watch, heldFailures: held },
+  });
   const settled = settleHeldFailures(rest, settle);
   return newer.length === 0
     ? settled
@@ -344,7 +356,7 @@
   state: NodeState,
   settle: SettleHeldFailure,
 ): NodeStep {
-  const held = state.quarantine.watch?.held ?? [];
+  const held = state.quarantine.watch?.heldFailures ?? [];
   const ended = putQuarantine(state, { watch: undefined });
   return held.reduce<NodeStep>(
     (step, failure) =>
--- a/src/engine/call/common/quarantine_ledger.ts
+++ b/src/engine/call/common/quarantine_ledger.ts
@@ -10,12 +10,12 @@
 import type { Reduction } from "../../../base/common/reduction.ts";
 import {
   expireSuspects,
-  isAcquitted,
-  listUnsettled,
+  isRecentlyCleared,
+  listSuspectsToCheck,
   MAX_KNOWN_SUSPECTS,
-  noteCleared,
-  noteSuspects,
-  noteVerdict,
+  recordCleared,
+  recordSuspects,
+  recordVerdict,
 } from "../../quarantine/common/known_suspects.ts";
 import type { Announcement } from "../../membership/common/announcement.ts";
 import { QUARANTINE_PREFIX } from "../../quarantine/common/quarantine_messages.ts";
@@ -101,10 +101,10 @@
   const { known, ledger, cleared } = state.quarantine;
   const fingerprints = crash.fingerprints.filter((fingerprint) =>
     guilty?.includes(fingerprint) === true ||
-    !isAcquitted(cleared, fingerprint, nowMs)
+    !isRecentlyCleared(cleared, fingerprint, nowMs)
   );
   const recorded = putQuarantine(state, {
-    known: noteSuspects(known, fingerprints, nowMs),
+    known: recordSuspects(known, fingerprints, nowMs),
   });
   const freeCapacity = MAX_KNOWN_SUSPECTS - ledger.suspects.size;
   const added = fingerprints.filter((fingerprint) =>
@@ -181,7 +181,7 @@
 ): NodeState {
   return cleared.reduce(
     (next, fingerprint) =>
-      recordVerdict(
+      applyVerdict(
         next,
         { fingerprint, isCleared: true, quarantineMs: 0 },
         nowMs,
@@ -201,7 +201,7 @@
     return createReduction(state);
   }
   const byOwner = new Map<string, Fingerprint[]>();
-  for (const fingerprint of listUnsettled(known, nowMs)) {
+  for (const fingerprint of listSuspectsToCheck(known, nowMs)) {
     const owner = findOwner(state, fingerprint)?.ingress;
     if (owner === undefined || ledger.suspects.has(fingerprint)) {
       continue;
@@ -234,7 +234,7 @@
     case "TellVerdicts": {
       return createReduction(
         message.verdicts.reduce(
-          (before, verdict) => recordVerdict(before, verdict, nowMs),
+          (before, verdict) => applyVerdict(before, verdict, nowMs),
           state,
         ),
       );
@@ -363,7 +363,7 @@
     .map(({ nodeId, ingress }) =>
       createPeerRequest(`${VERDICT_PREFIX}${nodeId}`, ingress, message)
     );
-  return createReduction(recordVerdict(state, verdict, nowMs), [
+  return createReduction(applyVerdict(state, verdict, nowMs), [
     {
       type: "RecordEvent",
       event: isCleared
@@ -375,15 +375,15 @@
 }
 
 /** Records the owner's verdict, and when it cleared a suspect. */
-function recordVerdict(
+function applyVerdict(
   state: NodeState,
   verdict: Verdict,
   nowMs: number,
 ): NodeState {
   const { fingerprint, isCleared } = verdict;
-  const known = noteVerdict(state.quarantine.known, verdict, nowMs);
+  const known = recordVerdict(state.quarantine.known, verdict, nowMs);
   const cleared = isCleared
-    ? noteCleared(state.quarantine.cleared, fingerprint, nowMs)
+    ? recordCleared(state.quarantine.cleared, fingerprint, nowMs)
     : deleteEntry(state.quarantine.cleared, fingerprint);
   return putQuarantine(state, { known, cleared });
 }
--- a/src/engine/call/common/quarantine_steps.ts
+++ b/src/engine/call/common/quarantine_steps.ts
@@ -133,8 +133,8 @@
     ...lease,
     phase: "ending",
     isWhole,
-    sinceMs: nowMs,
-    toldAtMs: nowMs,
+    phaseStartedAtMs: nowMs,
+    notifiedAtMs: nowMs,
   };
   return createReduction(putLease(state, attemptId, ending), [
     createEndRequest(state, attemptId, ending),
@@ -161,7 +161,7 @@
     ? putLease(recorded, attemptId, {
       ...lease,
       phase: "lingering",
-      sinceMs: nowMs,
+      phaseStartedAtMs: nowMs,
     })
     : recorded;
 }
@@ -261,8 +261,8 @@
     leaseId: undefined,
     phase: "asking",
     isWhole: false,
-    sinceMs: nowMs,
-    toldAtMs: nowMs,
+    phaseStartedAtMs: nowMs,
+    notifiedAtMs: nowMs,
   };
   const { nodeId } = state.self;
   const timeoutMs = deadlineMs - nowMs;
@@ -286,12 +286,13 @@
   lease: LocalLease,
   nowMs: number,
 ): Step {
-  const ageMs = nowMs - lease.sinceMs;
+  const ageMs = nowMs - lease.phaseStartedAtMs;
   if (lease.phase === "lingering" && ageMs >= LINGER_MS) {
     return endLease(state, attemptId, { isWhole: false, nowMs });
   }
   if (
-    lease.phase !== "ending" || nowMs - lease.toldAtMs < END_RETRY_INTERVAL_MS
+    lease.phase !== "ending" ||
+    nowMs - lease.notifiedAtMs < END_RETRY_INTERVAL_MS
   ) {
     return createReduction(state);
   }
@@ -299,7 +300,7 @@
     const leases = deleteEntry(state.quarantine.leases, attemptId);
     return createReduction(putQuarantine(state, { leases }));
   }
-  const notified: LocalLease = { ...lease, toldAtMs: nowMs };
+  const notified: LocalLease = { ...lease, notifiedAtMs: nowMs };
   return appendEffects(
     createReduction<NodeState, NodeEffect>(
       putLease(state, attemptId, notified),
--- a/src/engine/retry/common/resend_budget.ts
+++ b/src/engine/retry/common/resend_budget.ts
@@ -1,66 +1,75 @@
-/** A small budget per caller for requests that it sends again by itself. */
+/** Budget per caller for resends: requests that it sends again by itself. */
 import { hashText } from "../../../base/common/hash.ts";
 import { setEntry } from "../../../base/common/maps.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { Reduction } from "../../../base/common/reduction.ts";
 
-/** A request that names itself. */
+/** A request with an id that its resends share. */
 export interface IdentifiedRequest {
   readonly type: "RequestReceived";
+  /** Identifies the caller. */
   readonly caller: string;
-  /** The same in each resend of the request. */
+  /** Id of the request, the same in each resend; unique for the caller. */
   readonly id: string;
 }
 
-/** The request is a resend over the budget of its caller. */
+/** Refuses a request that is a resend over the budget of its caller. */
 export interface RefuseResend {
   readonly type: "RefuseResend";
 }
 
+/** Requests of one caller in a generation. */
 interface CallerCounts {
+  /** Distinct requests. */
   readonly firsts: number;
+  /** Resends that were not refused. */
   readonly resends: number;
 }
 
-/** What was seen in one stretch of time; split, so that a step copies little. */
+/**
+ * Requests received in one period. Ids and callers are split into buckets by
+ * hash, so that a step copies only one bucket.
+ */
 interface Generation {
-  readonly startedMs: number;
+  /** Wall clock in milliseconds. */
+  readonly startedAtMs: number;
   readonly ids: readonly ReadonlySet<string>[];
   readonly idCount: number;
+  /** Counts by caller. */
   readonly callers: readonly ReadonlyMap<string, CallerCounts>[];
 }
 
-/** Requests of the current generation and the one before. */
+/** State: the requests of the current and the previous generation. */
 export interface ResendBudgets {
-  readonly open: Generation;
-  readonly last: Generation;
+  readonly current: Generation;
+  readonly previous: Generation;
 }
 
-/** Shortest time that an id is remembered, but for `MAX_IDS`. */
+/** Minimum retention of an id, unless `MAX_GENERATION_IDS` is reached. */
 export const RESEND_WINDOW_MS = 10_000;
-/** Resends that a caller has in any case. */
+/** Resends allowed to each caller regardless of its distinct requests. */
 export const RESEND_FLOOR = 10;
-/** Resends as a share of the caller's distinct requests. */
+/** Further resends allowed, as a share of the caller's distinct requests. */
 export const RESEND_SHARE = 0.1;
-/** Ids in a generation; beyond them the next one begins early. */
-export const MAX_IDS = 4_096;
-const BUCKETS = 128;
+/** Maximum number of ids in a generation; then the next one begins early. */
+export const MAX_GENERATION_IDS = 4_096;
+const BUCKET_COUNT = 128;
 const NO_COUNTS: CallerCounts = { firsts: 0, resends: 0 };
 const NO_IDS: ReadonlySet<string> = new Set();
 const NO_CALLERS: ReadonlyMap<string, CallerCounts> = new Map();
 
-/** Nothing was received yet. */
-export const EMPTY_RESENDS: ResendBudgets = {
-  open: createGeneration(0),
-  last: createGeneration(0),
+/** State before any request. */
+export const EMPTY_RESEND_BUDGETS: ResendBudgets = {
+  current: createGeneration(0),
+  previous: createGeneration(0),
 };
 
 /**
- * Counts a request. One whose id is not remembered is a first one and never
- * refused; a resend is, where its caller's resends of both generations would
- * pass `RESEND_FLOOR + RESEND_SHARE * firsts`. What is forgotten early, for
- * want of room, counts as a first one again: the error is in favour of the
- * caller.
+ * Records a request. A request whose id is not retained is a first one, which
+ * is never refused. A resend is refused if the caller's resends in both
+ * generations would exceed `RESEND_FLOOR + RESEND_SHARE * firsts`. An id that
+ * is evicted early, because a generation was full, counts as a first one
+ * again: the error is in favour of the caller.
  */
 export function reduceResendBudget(
   state: ResendBudgets,
@@ -69,55 +78,58 @@
 ): Reduction<ResendBudgets, RefuseResend> {
   const { caller } = request;
   const id = `${caller}\n${request.id}`;
-  const { open, last } = advanceGenerations(state, nowMs);
-  const isResend = hasId(open, id) || hasId(last, id);
-  const noted = addId(open, id);
+  const { current, previous } = advanceGenerations(state, nowMs);
+  const isResend = hasId(current, id) || hasId(previous, id);
+  const recorded = addId(current, id);
   if (!isResend) {
-    const next = countOne(noted, caller, { firsts: 1, resends: 0 });
-    return createReduction({ open: next, last });
+    const next = addCounts(recorded, caller, { firsts: 1, resends: 0 });
+    return createReduction({ current: next, previous });
   }
-  const now = findCounts(open, caller);
-  const before = findCounts(last, caller);
-  const resends = now.resends + before.resends + 1;
-  const firsts = now.firsts + before.firsts;
+  const currentCounts = getCounts(current, caller);
+  const previousCounts = getCounts(previous, caller);
+  const resends = currentCounts.resends + previousCounts.resends + 1;
+  const firsts = currentCounts.firsts + previousCounts.firsts;
   if (resends > RESEND_FLOOR + RESEND_SHARE * firsts) {
-    return createReduction({ open: noted, last }, [{ type: "RefuseResend" }]);
+    return createReduction(
+      { current: recorded, previous },
+      [{ type: "RefuseResend" }],
+    );
   }
-  const next = countOne(noted, caller, { firsts: 0, resends: 1 });
-  return createReduction({ open: next, last });
+  const next = addCounts(recorded, caller, { firsts: 0, resends: 1 });
+  return createReduction({ current: next, previous });
 }
 
-function createGeneration(startedMs: number): Generation {
+function createGeneration(startedAtMs: number): Generation {
   return {
-    startedMs,
-    ids: Array.from({ length: BUCKETS }, () => NO_IDS),
+    startedAtMs,
+    ids: Array.from({ length: BUCKET_COUNT }, () => NO_IDS),
     idCount: 0,
-    callers: Array.from({ length: BUCKETS }, () => NO_CALLERS),
+    callers: Array.from({ length: BUCKET_COUNT }, () => NO_CALLERS),
   };
 }
 
 function advanceGenerations(
-  { open, last }: ResendBudgets,
+  { current, previous }: ResendBudgets,
   nowMs: number,
 ): ResendBudgets {
-  const ageMs = nowMs - open.startedMs;
-  if (ageMs < RESEND_WINDOW_MS && open.idCount < MAX_IDS) {
-    return { open, last };
+  const ageMs = nowMs - current.startedAtMs;
+  if (ageMs < RESEND_WINDOW_MS && current.idCount < MAX_GENERATION_IDS) {
+    return { current, previous };
   }
   const isStale = ageMs >= 2 * RESEND_WINDOW_MS;
   return {
-    open: createGeneration(nowMs),
-    last: isStale ? EMPTY_RESENDS.last : open,
+    current: createGeneration(nowMs),
+    previous: isStale ? EMPTY_RESEND_BUDGETS.previous : current,
   };
 }
 
 function hasId(generation: Generation, id: string): boolean {
-  return generation.ids[locate(id)]!.has(id);
+  return generation.ids[computeBucket(id)]!.has(id);
 }
 
-/** A resend is remembered anew, so that its id stays known while it comes. */
+/** Adds the id of a first request or resend, which prolongs its retention. */
 function addId(generation: Generation, id: string): Generation {
-  const index = locate(id);
+  const index = computeBucket(id);
   const bucket = generation.ids[index]!;
   if (bucket.has(id)) {
     return generation;
@@ -126,25 +138,25 @@
   return { ...generation, ids, idCount: generation.idCount + 1 };
 }
 
-function findCounts(generation: Generation, caller: string): CallerCounts {
-  return generation.callers[locate(caller)]!.get(caller) ?? NO_COUNTS;
+function getCounts(generation: Generation, caller: string): CallerCounts {
+  return generation.callers[computeBucket(caller)]!.get(caller) ?? NO_COUNTS;
 }
 
-function countOne(
+function addCounts(
   generation: Generation,
   caller: string,
-  more: CallerCounts,
+  increment: CallerCounts,
 ): Generation {
-  const index = locate(caller);
-  const { firsts, resends } = findCounts(generation, caller);
+  const index = computeBucket(caller);
+  const { firsts, resends } = getCounts(generation, caller);
   const counts = {
-    firsts: firsts + more.firsts,
-    resends: resends + more.resends,
+    firsts: firsts + increment.firsts,
+    resends: resends + increment.resends,
   };
   const bucket = setEntry(generation.callers[index]!, caller, counts);
   return { ...generation, callers: generation.callers.with(index, bucket) };
 }
 
-function locate(text: string): number {
-  return hashText(text) % BUCKETS;
+function computeBucket(text: string): number {
+  return hashText(text) % BUCKET_COUNT;
 }
