--- a/src/daemon/relay_control.ts
+++ b/src/daemon/relay_control.ts
@@ -201,7 +201,7 @@
         return;
       case "MemberList":
         if (message.isComplete) {
-          this.#options.members.noteComplete(message.service);
+          this.#options.members.markComplete(message.service);
         }
         if (
           message.isComplete || !this.#options.members.isKnown(message.service)
--- a/src/daemon/relay_daemon.ts
+++ b/src/daemon/relay_daemon.ts
@@ -10,7 +10,7 @@
 import { MeshClient } from "../engine/mesh/node/mesh_client.ts";
 import { MeshServer } from "../engine/mesh/node/mesh_server.ts";
 import type { CallDialect } from "../engine/relay/common/dialect.ts";
-import { isSameLife } from "../engine/relay/common/gate.ts";
+import { isSameProcessInstance } from "../engine/relay/common/gate.ts";
 import type { LocalBackend } from "../engine/relay/common/gate.ts";
 import { MemberTable } from "../engine/relay/common/member_table.ts";
 import { CallerServer } from "../engine/relay/node/caller_server.ts";
@@ -255,7 +255,7 @@
     const slots = backend?.slots ?? current.slots;
     const isSame = service === current.service && slots === current.slots &&
       isDraining === current.isDraining &&
-      isSameLife(before, backend);
+      isSameProcessInstance(before, backend);
     if (isSame) {
       return;
     }
--- a/src/daemon/relay_settings.ts
+++ b/src/daemon/relay_settings.ts
@@ -1,7 +1,7 @@
 /** What a relay node is told at its start. */
 import type { LinkPace } from "../engine/link/common/link_reducer.ts";
 import type { QuotaTerms } from "../engine/workspaces/common/quota_shares.ts";
-import type { BudgetTerms } from "../engine/relay/common/entry_budget.ts";
+import type { RetryBudgetLimits } from "../engine/relay/common/entry_budget.ts";
 
 /** What a relay daemon is built from. */
 export interface RelaySettings {
@@ -20,7 +20,7 @@
   /** Link addresses of control replicas. */
   readonly replicas: readonly string[];
   readonly linkPace: LinkPace;
-  readonly budget: BudgetTerms;
+  readonly budget: RetryBudgetLimits;
   /** How long keys are served without a proof that they hold; undefined: on. */
   readonly keyLeaseMs: number | undefined;
   /** Undefined where limits of workspaces are not kept. */
--- a/src/daemon/relay_tree.ts
+++ b/src/daemon/relay_tree.ts
@@ -51,7 +51,7 @@
   noteRun(run: BackendRun, change: 1 | -1, nowMs: number): void {
     this.#coincidences.noteRun(run.route, change, nowMs);
     if (change === 1) {
-      this.#repeated.noteBegun(run, nowMs);
+      this.#repeated.recordStart(run, nowMs);
     }
   }
 
@@ -75,7 +75,7 @@
       return { isNested, repeatShare: 0 };
     }
     const parents = this.#tree.listParents(call.route, nowMs);
-    const repeatShare = this.#repeated.computeShare(parents, nowMs);
+    const repeatShare = this.#repeated.computeRepeatShare(parents, nowMs);
     return { isNested, repeatShare };
   }
 
@@ -110,10 +110,10 @@
     const { members } = this.#options;
     return this.#tree.listEdges(nowMs).map(([parent, callees]) => {
       const ways = callees.map(({ service, route }) =>
-        members.computeWayPressure(service, route, nowMs)
+        members.computePathPressure(service, route, nowMs)
       );
       const worst = ways.reduce((a, b) => b.pressure > a.pressure ? b : a);
-      const { pressure, saidAtMs } = worst;
+      const { pressure, reportedAtMs: saidAtMs } = worst;
       return [
         parent,
         Math.round(pressure * 1_000) / 1_000,
--- a/src/engine/relay/common/dialect.ts
+++ b/src/engine/relay/common/dialect.ts
@@ -7,11 +7,11 @@
 >;
 
 /** What a caller says of its request. */
-export interface CallerTerms {
+export interface RequestMetadata {
   /** Undefined where the caller sent none. */
   readonly requestId: string | undefined;
   /** How long the caller will wait; undefined where it doesn't say. */
-  readonly patienceMs: number | undefined;
+  readonly timeoutMs: number | undefined;
   /** Key of a workspace, in clear text; undefined where there is none. */
   readonly key: string | undefined;
 }
@@ -25,7 +25,7 @@
 }
 
 /** What the node says to the backend server about one request. */
-export interface BackendTerms {
+export interface BackendRequestContext {
   readonly headers: HeaderList;
   readonly timeLeftMs: number;
   /** The incarnation that shall run it, if one is known. */
@@ -40,7 +40,7 @@
 }
 
 /** What an answer's head says. */
-export type AnswerJudgement =
+export type AnswerValidation =
   /** The backend server's own answer to this request. */
   | { readonly type: "Answered" }
   /** The backend server did not run the request. */
@@ -52,14 +52,14 @@
 
 /** Pure translations at the two edges of the mesh. */
 export interface CallDialect {
-  readonly readTerms: (headers: HeaderMap) => CallerTerms;
+  readonly readRequestMetadata: (headers: HeaderMap) => RequestMetadata;
   /** Headers that go on: no key, and nothing that only a node may say. */
   readonly createCallHeaders: (
     rawHeaders: readonly string[],
     origin: CallOrigin,
   ) => HeaderList;
-  readonly createBackendHeaders: (terms: BackendTerms) => HeaderList;
-  readonly judgeAnswer: (head: AnswerHead) => AnswerJudgement;
+  readonly createBackendHeaders: (terms: BackendRequestContext) => HeaderList;
+  readonly validateAnswer: (head: AnswerHead) => AnswerValidation;
   /** Headers of an answer that go back to the caller. */
   readonly createAnswerHeaders: (rawHeaders: readonly string[]) => HeaderList;
   /** Load that the backend server says of itself. */
--- a/src/engine/relay/common/entry_budget.ts
+++ b/src/engine/relay/common/entry_budget.ts
@@ -10,7 +10,7 @@
  */
 
 /** The budget that the nodes of a fleet share. */
-export interface BudgetTerms {
+export interface RetryBudgetLimits {
   /** Repeats as a share of the first attempts. */
   readonly ratio: number;
   /** Repeats that all nodes together have in any case. */
@@ -33,7 +33,7 @@
   /** Nodes that share the slack. */
   readonly nodes: number;
   /** Whether runs of the route make calls. */
-  readonly hasCallsBelow: boolean;
+  readonly hasDownstreamCalls: boolean;
 }
 
 /** What a node sent in one window. */
@@ -72,7 +72,7 @@
 
 /** Counts by service and route. */
 export class EntryBudget {
-  readonly #terms: BudgetTerms;
+  readonly #terms: RetryBudgetLimits;
   readonly #startedAtMs: number;
   readonly #draw: () => number;
   readonly #services = new Map<string, Map<string, RouteCounts>>();
@@ -80,7 +80,7 @@
 
   /** `draw` gives a number from 0 to 1, 1 left out. */
   constructor(
-    terms: BudgetTerms,
+    terms: RetryBudgetLimits,
     options: { readonly startedAtMs: number; readonly draw: () => number },
   ) {
     this.#terms = terms;
@@ -90,7 +90,7 @@
   }
 
   /** Counts a first attempt. */
-  noteFirst(call: BudgetedCall, nowMs: number): void {
+  recordFirstAttempt(call: BudgetedCall, nowMs: number): void {
     this.#forgetIdle(nowMs);
     const slice = this.#getSlice(call, nowMs);
     slice.firsts += 1;
@@ -98,18 +98,18 @@
   }
 
   /** Counts a retry. */
-  noteRetry(call: BudgetedCall, nowMs: number): void {
+  recordRetry(call: BudgetedCall, nowMs: number): void {
     this.#getSlice(call, nowMs).retries += 1;
   }
 
   /** Whether one more retry fits. */
   canRetry(call: BudgetedCall, context: RetryContext, nowMs: number): boolean {
     return this.#hasServiceRoom(call.service, context.nodes, nowMs) &&
-      (!context.hasCallsBelow || this.#hasRouteRoom(call, nowMs));
+      (!context.hasDownstreamCalls || this.#hasRouteRoom(call, nowMs));
   }
 
   /** Counts what was sent to a service in the window that ends now. */
-  count(service: string, nowMs: number): BudgetCounts {
+  countAttempts(service: string, nowMs: number): BudgetCounts {
     const routes = [...this.#services.get(service)?.values() ?? []];
     return this.#sum(routes, this.#findOldestSecond(nowMs));
   }
--- a/src/engine/relay/common/entry_call.ts
+++ b/src/engine/relay/common/entry_call.ts
@@ -17,9 +17,9 @@
   readonly service: string;
   readonly onResult: (result: EntryResult) => void;
   readonly tried: Set<string>;
-  handedOver: number;
+  handoverCount: number;
   mayHaveRun: boolean;
-  rerouted: number;
+  rerouteCount: number;
   retryAfterMs: number;
   attempt: Attempt | undefined;
   answer:
@@ -28,7 +28,7 @@
 }
 
 /** A refused caller comes back no sooner, in milliseconds. */
-export const MIN_RETRY_MS = 50;
+export const MIN_RETRY_AFTER_MS = 50;
 
 /** Creates a call that was sent nowhere yet. */
 export function createEntryCall(
@@ -43,17 +43,17 @@
     service,
     onResult,
     tried: new Set(),
-    handedOver: 0,
+    handoverCount: 0,
     mayHaveRun: false,
-    rerouted: 0,
-    retryAfterMs: MIN_RETRY_MS,
+    rerouteCount: 0,
+    retryAfterMs: MIN_RETRY_AFTER_MS,
     attempt: undefined,
     answer: undefined,
   };
 }
 
 /** Creates the frame that hands a call to a node. */
-export function createOpening(call: EntryCall): CallOpened {
+export function createCallOpened(call: EntryCall): CallOpened {
   const { request, service } = call;
   const { route, body } = request;
   return {
@@ -69,20 +69,22 @@
     route: route.name,
     isIdempotent: route.isIdempotent,
     isNested: request.isNested,
-    repeatShare: call.handedOver > 0 ? 1 : request.repeatShare,
+    repeatShare: call.handoverCount > 0 ? 1 : request.repeatShare,
     bodyBytes: body.length,
     body: cutFirstPart(body),
   };
 }
 
 /** Creates what the retry budget counts of a call. */
-export function createBudgeted({ request, service }: EntryCall): BudgetedCall {
+export function createBudgetedCall(
+  { request, service }: EntryCall,
+): BudgetedCall {
   const { route, isNested, repeatShare } = request;
   return { service, route: route.name, isNested, repeatShare };
 }
 
 /** Creates what the caller of a call is told that isn't tried further. */
-export function createRefusal(call: EntryCall): EntryFailure {
+export function createFailure(call: EntryCall): EntryFailure {
   return call.mayHaveRun
     ? { type: "Unknown" }
     : { type: "Refused", retryAfterMs: call.retryAfterMs };
--- a/src/engine/relay/common/entry_decision.ts
+++ b/src/engine/relay/common/entry_decision.ts
@@ -6,12 +6,12 @@
   readonly kind: FailureKind;
   readonly isIdempotent: boolean;
   /** Backend servers that the call was handed to. */
-  readonly handedOver: number;
+  readonly handoverCount: number;
   /** Whether one of these may have begun to run it. */
   readonly mayHaveRun: boolean;
   readonly maxAttempts: number;
   /** Nodes that refused it before their backend server saw it. */
-  readonly rerouted: number;
+  readonly rerouteCount: number;
   readonly timeLeftMs: number;
   /** Whether the retry budget allows one more arrival. */
   readonly canRetry: boolean;
@@ -20,8 +20,8 @@
 
 /** The next step of a call. */
 export type NextStep =
-  /** Try another node; `isArrival` where it counts against the budget. */
-  | { readonly type: "TryElsewhere"; readonly isArrival: boolean }
+  /** Try another node; `isBudgeted` where it counts against the budget. */
+  | { readonly type: "TryElsewhere"; readonly isBudgeted: boolean }
   /** It ran nowhere and never will: the caller may come back. */
   | { readonly type: "Refuse" }
   /** What became of it isn't known. */
@@ -41,16 +41,16 @@
     case "expired":
       return { type: "FailExpired" };
     case "refused":
-      return canMove && attempt.rerouted < MAX_REROUTES
-        ? { type: "TryElsewhere", isArrival: false }
+      return canMove && attempt.rerouteCount < MAX_REROUTES
+        ? { type: "TryElsewhere", isBudgeted: false }
         : decideRefusal(attempt);
     case "rejected":
       return canMove && canSendAgain(attempt)
-        ? { type: "TryElsewhere", isArrival: true }
+        ? { type: "TryElsewhere", isBudgeted: true }
         : decideRefusal(attempt);
     case "unknown":
       return canMove && attempt.isIdempotent && canSendAgain(attempt)
-        ? { type: "TryElsewhere", isArrival: true }
+        ? { type: "TryElsewhere", isBudgeted: true }
         : { type: "FailUnknown" };
   }
 }
@@ -64,5 +64,5 @@
 }
 
 function canSendAgain(attempt: FailedAttempt): boolean {
-  return attempt.canRetry && attempt.handedOver < attempt.maxAttempts;
+  return attempt.canRetry && attempt.handoverCount < attempt.maxAttempts;
 }
--- a/src/engine/relay/common/entry_lines.ts
+++ b/src/engine/relay/common/entry_lines.ts
@@ -34,7 +34,7 @@
     cause,
     reason,
     ...budget,
-    handedOver: call.handedOver,
+    handedOver: call.handoverCount,
     timeLeftMs: call.request.deadlineMs - nowMs,
   };
 }
@@ -93,7 +93,7 @@
     outcome: failure.type,
     reason,
     tried: [...call.tried],
-    handedOver: call.handedOver,
+    handedOver: call.handoverCount,
     elapsedMs: nowMs - arrivedAtMs,
     queuedMs,
     ...inputs,
--- a/src/engine/relay/common/gate.ts
+++ b/src/engine/relay/common/gate.ts
@@ -31,7 +31,7 @@
   readonly slots: number;
   readonly isDraining: boolean;
   /** Until when it is slow after its start. */
-  readonly warmUntilMs: number;
+  readonly warmUpEndMs: number;
 }
 
 /** What happens at the gate. */
@@ -147,7 +147,7 @@
 }
 
 /** Whether two announcements are of one run of a backend server. */
-export function isSameLife(
+export function isSameProcessInstance(
   a: LocalBackend | undefined,
   b: LocalBackend | undefined,
 ): boolean {
@@ -168,7 +168,7 @@
 }
 
 /** Creates what callers are told of the load. */
-export function createLoad(state: GateState): LoadFigures {
+export function createLoadFigures(state: GateState): LoadFigures {
   return {
     running: state.running,
     queued: state.queue.length,
--- a/src/engine/relay/common/gate_call_index.ts
+++ b/src/engine/relay/common/gate_call_index.ts
@@ -8,8 +8,8 @@
 /** A request at the backend server, or on its way there. */
 export interface BackendExchange {
   /** Whether bytes of the request may have left. */
-  readonly hasBegun: boolean;
-  readonly breakOff: () => void;
+  readonly hasStartedSending: boolean;
+  readonly abort: () => void;
 }
 
 /** A call from its arrival to its end. */
@@ -21,9 +21,9 @@
   /** When it would have arrived, had its message been as fast as usual. */
   readonly arrivedAtMs: number;
   /** How much longer than usual its message was on its way. */
-  readonly onWayMs: number;
+  readonly transitDelayMs: number;
   readonly send: SendFrame;
-  readonly source: string;
+  readonly linkId: string;
   /** One that is admitted has its place, but was not handed over yet. */
   phase: "receiving" | "waiting" | "admitted" | "running";
   startedAtMs: number;
@@ -53,8 +53,8 @@
   add(call: GateCallState): void {
     this.#calls.set(call.id, call);
     this.#heldBytes += call.opened.bodyBytes;
-    const numbers = this.#byLink.get(call.source) ?? new Map();
-    this.#byLink.set(call.source, numbers);
+    const numbers = this.#byLink.get(call.linkId) ?? new Map();
+    this.#byLink.set(call.linkId, numbers);
     numbers.set(call.opened.call, call.id);
   }
 
@@ -63,7 +63,7 @@
     if (this.#calls.delete(call.id)) {
       this.#heldBytes -= call.opened.bodyBytes;
     }
-    this.#byLink.get(call.source)?.delete(call.opened.call);
+    this.#byLink.get(call.linkId)?.delete(call.opened.call);
   }
 
   /** Whether a call that was not ended has this number. */
@@ -77,7 +77,7 @@
   }
 
   /** Finds a call by its link and its number there. */
-  find(link: string, number: number): GateCallState | undefined {
+  findByLink(link: string, number: number): GateCallState | undefined {
     const id = this.#byLink.get(link)?.get(number);
     return id === undefined ? undefined : this.#calls.get(id);
   }
@@ -88,23 +88,23 @@
   }
 
   /** Lists the calls of a link. */
-  listOfLink(link: string): readonly GateCallState[] {
+  listByLink(link: string): readonly GateCallState[] {
     const ids = [...this.#byLink.get(link)?.values() ?? []];
     return ids.flatMap((id) => this.#calls.get(id) ?? []);
   }
 
   /** Whether calls of a link are in progress. */
-  hasAny(link: string): boolean {
+  hasCallsOfLink(link: string): boolean {
     return (this.#byLink.get(link)?.size ?? 0) > 0;
   }
 
   /** Forgets a link; its calls can't be found by their numbers there. */
-  forgetLink(link: string): void {
+  removeLink(link: string): void {
     this.#byLink.delete(link);
   }
 
   /** Whether a body is too much; one alone may be as large as allowed. */
-  isOverfull(ownBytes: number): boolean {
+  isOverBodyLimit(ownBytes: number): boolean {
     return this.#heldBytes > MAX_HELD_BYTES && this.#heldBytes > ownBytes;
   }
 }
--- a/src/engine/relay/common/gate_lines.ts
+++ b/src/engine/relay/common/gate_lines.ts
@@ -9,7 +9,7 @@
   /** `lagMs`: how far the event loop is behind. */
   { nowMs, lagMs }: { readonly nowMs: number; readonly lagMs: number },
 ): RelayLine {
-  const { opened, deadlineMs, arrivedAtMs, onWayMs } = call;
+  const { opened, deadlineMs, arrivedAtMs, transitDelayMs: onWayMs } = call;
   return {
     event: "CallHandedOver",
     isFailure: false,
--- a/src/engine/relay/common/gate_load_log.ts
+++ b/src/engine/relay/common/gate_load_log.ts
@@ -20,7 +20,7 @@
   #mostPressure = 0;
 
   /** Notes how the gate is; returns a line where one is due. */
-  note(state: GateState, nowMs: number): RelayLine | undefined {
+  sample(state: GateState, nowMs: number): RelayLine | undefined {
     const { running, queue, pressure: { pressure } } = state;
     this.#looks += 1;
     this.#running += running;
--- a/src/engine/relay/common/held_bytes.ts
+++ b/src/engine/relay/common/held_bytes.ts
@@ -1,7 +1,7 @@
 /** How many bytes of requests a listener holds, and who holds them. */
 
 /** What one request holds. */
-export interface Hold {
+export interface ByteHold {
   /** Holds further bytes; false where none are left. */
   readonly add: (bytes: number) => boolean;
   readonly release: () => void;
@@ -17,7 +17,7 @@
   }
 
   /** Opens the hold of one request. */
-  open(): Hold {
+  open(): ByteHold {
     let ownBytes = 0;
     return {
       add: (bytes) => {
--- a/src/engine/relay/common/member.ts
+++ b/src/engine/relay/common/member.ts
@@ -10,20 +10,20 @@
   /** Calls of this node that were sent since the load was heard. */
   sentSinceLoad: number;
   load: LoadFigures | undefined;
-  loadAtMs: number;
+  loadReceivedAtMs: number;
   /**
    * Pressure below the routes that make calls there, as it says; undefined
    * before it has said anything.
    */
-  below: readonly BelowMember[] | undefined;
+  downstream: readonly DownstreamPressure[] | undefined;
   /** Smoothed share of failures among the answers. */
   failureShare: number;
   /** Answers in a row that were failures. */
-  failures: number;
+  consecutiveFailures: number;
   /** Until when it is chosen only where no other is left. */
   ejectedUntilMs: number;
   /** Times that it was left out since its last good answer. */
-  ejections: number;
+  ejectionCount: number;
   /** When it is next tried though it fails part of its calls. */
   probeAtMs: number;
   /** Since when calls of this node have been in progress there. */
@@ -31,11 +31,11 @@
 }
 
 /** Pressure below a route, as a member said it. */
-export interface BelowMember {
+export interface DownstreamPressure {
   readonly route: string;
   readonly pressure: number;
   /** When the gate under pressure said so, by the own clock. */
-  readonly saidAtMs: number;
+  readonly reportedAtMs: number;
 }
 
 /** Answers after which a failing member is left out for a while. */
@@ -54,7 +54,7 @@
  * Notes what an answer, or its absence, says of a member; tells whether it is
  * left out from now on.
  */
-export function noteResult(
+export function recordResult(
   member: Member,
   isFailure: boolean,
   nowMs: number,
@@ -62,23 +62,23 @@
   member.failureShare += (Number(isFailure) - member.failureShare) *
     FAILURE_GAIN;
   if (!isFailure) {
-    member.failures = 0;
-    member.ejections = 0;
+    member.consecutiveFailures = 0;
+    member.ejectionCount = 0;
     return false;
   }
-  member.failures += 1;
+  member.consecutiveFailures += 1;
   const isOut = member.ejectedUntilMs > nowMs;
-  if (isOut || member.failures < EJECT_AFTER) {
+  if (isOut || member.consecutiveFailures < EJECT_AFTER) {
     return false;
   }
-  const ejectMs = FIRST_EJECT_MS * 2 ** member.ejections;
+  const ejectMs = FIRST_EJECT_MS * 2 ** member.ejectionCount;
   member.ejectedUntilMs = nowMs + Math.min(MAX_EJECT_MS, ejectMs);
-  member.ejections += 1;
+  member.ejectionCount += 1;
   return true;
 }
 
 /** Calls in progress hold on to the member, so that it is kept. */
-export function renewMember(
+export function updateMember(
   before: Member | undefined,
   announcement: Announcement,
 ): Member {
@@ -101,12 +101,12 @@
     outstanding: 0,
     sentSinceLoad: 0,
     load: undefined,
-    loadAtMs: 0,
-    below: undefined,
+    loadReceivedAtMs: 0,
+    downstream: undefined,
     failureShare: 0,
-    failures: 0,
+    consecutiveFailures: 0,
     ejectedUntilMs: 0,
-    ejections: 0,
+    ejectionCount: 0,
     probeAtMs: 0,
     busySinceMs: 0,
   };
--- a/src/engine/relay/common/member_choice.ts
+++ b/src/engine/relay/common/member_choice.ts
@@ -118,9 +118,10 @@
   meanMs: number,
   options: ChoiceOptions,
 ): number {
-  const { announcement, load, loadAtMs, outstanding, sentSinceLoad } = member;
+  const { announcement, load, loadReceivedAtMs, outstanding, sentSinceLoad } =
+    member;
   const isFresh = load !== undefined &&
-    options.nowMs - loadAtMs < LOAD_VALID_MS;
+    options.nowMs - loadReceivedAtMs < LOAD_VALID_MS;
   const places = Math.max(1, isFresh ? load.limit : announcement.slots);
   const inUse = isFresh
     ? Math.max(outstanding, load.running + load.queued + sentSinceLoad)
@@ -139,8 +140,8 @@
 ): number {
   let sum = 0;
   let known = 0;
-  for (const { load, loadAtMs } of members) {
-    const isFresh = nowMs - loadAtMs < LOAD_VALID_MS;
+  for (const { load, loadReceivedAtMs } of members) {
+    const isFresh = nowMs - loadReceivedAtMs < LOAD_VALID_MS;
     if (load !== undefined && load.serviceMs > 0 && isFresh) {
       sum += load.serviceMs;
       known += 1;
--- a/src/engine/relay/common/member_table.ts
+++ b/src/engine/relay/common/member_table.ts
@@ -1,18 +1,18 @@
 /** The backend servers that a node may choose from, and their loads. */
 import type { LoadFigures, PressureBelow } from "../../mesh/common/frames.ts";
 import type { Announcement } from "../../membership/common/announcement.ts";
-import { renewMember } from "./member.ts";
-import type { BelowMember, Member } from "./member.ts";
+import { updateMember } from "./member.ts";
+import type { DownstreamPressure, Member } from "./member.ts";
 import { chooseMember, listReliable, LOAD_VALID_MS } from "./member_choice.ts";
 import type { ChoiceOptions } from "./member_choice.ts";
 
 /** Pressure on a way, and when the gate under it said so. */
-export interface WayPressure {
+export interface PathPressure {
   readonly pressure: number;
-  readonly saidAtMs: number;
+  readonly reportedAtMs: number;
 }
 
-const NO_PRESSURE: WayPressure = { pressure: 0, saidAtMs: 0 };
+const NO_PRESSURE: PathPressure = { pressure: 0, reportedAtMs: 0 };
 /**
  * Pressure that a gate said so long ago is gone: it may have been passed on
  * over seven levels, 100 ms apart, and must end where nodes pass it in a
@@ -47,7 +47,7 @@
   }
 
   /** Notes that all members of a service were told. */
-  noteComplete(service: string): void {
+  markComplete(service: string): void {
     this.#complete.add(service);
   }
 
@@ -57,7 +57,7 @@
     const members = new Map<string, Member>();
     for (const announcement of announcements) {
       const { ingress } = announcement;
-      members.set(ingress, renewMember(before?.get(ingress), announcement));
+      members.set(ingress, updateMember(before?.get(ingress), announcement));
     }
     this.#services.set(service, members);
   }
@@ -67,7 +67,7 @@
     const { service, ingress } = announcement;
     const members = this.#services.get(service) ?? new Map<string, Member>();
     this.#services.set(service, members);
-    members.set(ingress, renewMember(members.get(ingress), announcement));
+    members.set(ingress, updateMember(members.get(ingress), announcement));
   }
 
   /** Removes the member with a node id. */
@@ -101,20 +101,20 @@
   }
 
   /** Takes a load that a member says of itself. */
-  noteLoad(address: string, load: LoadFigures, nowMs: number): void {
+  recordLoad(address: string, load: LoadFigures, nowMs: number): void {
     this.#unproven.delete(address);
     for (const members of this.#services.values()) {
       const member = members.get(address);
       if (member !== undefined) {
         member.load = load;
-        member.loadAtMs = nowMs;
+        member.loadReceivedAtMs = nowMs;
         member.sentSinceLoad = 0;
       }
     }
   }
 
   /** Takes the pressure that a member says is below its routes. */
-  noteBelow(
+  recordDownstreamPressure(
     address: string,
     below: readonly PressureBelow[],
     nowMs: number,
@@ -122,12 +122,12 @@
     const told = below.map(([route, pressure, ageMs]) => ({
       route,
       pressure,
-      saidAtMs: nowMs - ageMs,
+      reportedAtMs: nowMs - ageMs,
     }));
     for (const members of this.#services.values()) {
       const member = members.get(address);
       if (member !== undefined) {
-        member.below = told;
+        member.downstream = told;
       }
     }
   }
@@ -174,49 +174,50 @@
    * Computes the pressure of a service: the mean over the members that calls go
    * to. One that is left out for its failures has room, but for nobody.
    */
-  computePressure(service: string, nowMs: number): WayPressure {
+  computePressure(service: string, nowMs: number): PathPressure {
     let sum = 0;
     let count = 0;
-    let saidAtMs = 0;
-    const open = this.list(service).filter(({ load, loadAtMs }) =>
-      load !== undefined && load.limit > 0 && nowMs - loadAtMs < LOAD_VALID_MS
+    let reportedAtMs = 0;
+    const open = this.list(service).filter(({ load, loadReceivedAtMs }) =>
+      load !== undefined && load.limit > 0 &&
+      nowMs - loadReceivedAtMs < LOAD_VALID_MS
     );
-    for (const { load, loadAtMs } of listReliable(open)) {
+    for (const { load, loadReceivedAtMs } of listReliable(open)) {
       sum += load!.pressure * load!.limit;
       count += load!.limit;
-      saidAtMs = Math.max(saidAtMs, loadAtMs);
+      reportedAtMs = Math.max(reportedAtMs, loadReceivedAtMs);
     }
-    return count === 0 ? NO_PRESSURE : { pressure: sum / count, saidAtMs };
+    return count === 0 ? NO_PRESSURE : { pressure: sum / count, reportedAtMs };
   }
 
   /** Computes the pressure on the whole way of a route's requests. */
-  computeWayPressure(
+  computePathPressure(
     service: string,
     route: string,
     nowMs: number,
-  ): WayPressure {
+  ): PathPressure {
     const own = this.computePressure(service, nowMs);
     const below = this.#computeBelow(service, route, nowMs);
     return below.pressure > own.pressure ? below : own;
   }
 
   /** What members say, each counting as much as it may run. */
-  #computeBelow(service: string, route: string, nowMs: number): WayPressure {
+  #computeBelow(service: string, route: string, nowMs: number): PathPressure {
     let sum = 0;
     let count = 0;
-    let saidAtMs = 0;
+    let reportedAtMs = 0;
     for (const member of this.#services.get(service)?.values() ?? []) {
-      if (nowMs - member.loadAtMs >= LOAD_VALID_MS) {
+      if (nowMs - member.loadReceivedAtMs >= LOAD_VALID_MS) {
         continue;
       }
       count += 1;
-      const found = member.below?.find((one) => one.route === route);
-      if (found !== undefined && nowMs - found.saidAtMs < WAY_VALID_MS) {
+      const found = member.downstream?.find((one) => one.route === route);
+      if (found !== undefined && nowMs - found.reportedAtMs < WAY_VALID_MS) {
         sum += found.pressure;
-        saidAtMs = Math.max(saidAtMs, found.saidAtMs);
+        reportedAtMs = Math.max(reportedAtMs, found.reportedAtMs);
       }
     }
-    return sum === 0 ? NO_PRESSURE : { pressure: sum / count, saidAtMs };
+    return sum === 0 ? NO_PRESSURE : { pressure: sum / count, reportedAtMs };
   }
 
   /** Whether the members of a service are known to call no other one. */
@@ -226,14 +227,14 @@
   }
 
   /** Whether a member has said that runs of a route make calls there. */
-  hasCallsBelow(service: string, route: string): boolean {
+  hasDownstreamCalls(service: string, route: string): boolean {
     return this.#listBelow(service)
       .some((below) => below.some((one) => one.route === route));
   }
 
   /** What members have said is below them. */
-  #listBelow(service: string): readonly (readonly BelowMember[])[] {
-    return this.list(service).flatMap(({ below }) =>
+  #listBelow(service: string): readonly (readonly DownstreamPressure[])[] {
+    return this.list(service).flatMap(({ downstream: below }) =>
       below === undefined ? [] : [below]
     );
   }
--- a/src/engine/relay/common/pipeline.ts
+++ b/src/engine/relay/common/pipeline.ts
@@ -7,7 +7,7 @@
  * Requests of one connection that run at a time: more would let a single
  * caller take the places of others; fewer make it wait for its own requests.
  */
-export const MAX_STARTED = 16;
+export const MAX_CONCURRENT_EXCHANGES = 16;
 
 interface Entry<T> {
   readonly exchange: T;
@@ -26,7 +26,7 @@
   }
 
   /** Whether exchanges wait for others of the connection to end. */
-  get isFull(): boolean {
+  get hasWaiting(): boolean {
     return this.#entries.some(({ isStarted }) => !isStarted);
   }
 
@@ -60,7 +60,7 @@
   }
 
   /** Takes nothing more; what was taken is still answered. */
-  stopTaking(): void {
+  stopAccepting(): void {
     this.#isClosing = true;
   }
 
@@ -73,7 +73,7 @@
   #startWaiting(): readonly T[] {
     const started = this.#entries.filter(({ isStarted }) => isStarted).length;
     const next = this.#entries.filter(({ isStarted }) => !isStarted)
-      .slice(0, Math.max(0, MAX_STARTED - started));
+      .slice(0, Math.max(0, MAX_CONCURRENT_EXCHANGES - started));
     for (const entry of next) {
       entry.isStarted = true;
     }
--- a/src/engine/relay/common/repeated_runs.ts
+++ b/src/engine/relay/common/repeated_runs.ts
@@ -31,7 +31,7 @@
   readonly #routes = new Map<string, RouteRuns>();
 
   /** A run begins. */
-  noteBegun({ route, repeatShare }: BackendRun, nowMs: number): void {
+  recordStart({ route, repeatShare }: BackendRun, nowMs: number): void {
     const runs = this.#routes.get(route) ?? this.#add(route, nowMs);
     const kept = computeKept(runs, nowMs);
     runs.begun = runs.begun * kept + 1;
@@ -44,7 +44,7 @@
    * Computes how likely it is that a repeat made a call that runs of some
    * routes make; where none of these has run, any run may have made it.
    */
-  computeShare(parents: readonly string[], nowMs: number): number {
+  computeRepeatShare(parents: readonly string[], nowMs: number): number {
     const known = parents.flatMap((name) => this.#routes.get(name) ?? []);
     const routes = known.length > 0 ? known : [...this.#routes.values()];
     let begun = 0;
--- a/src/engine/relay/common/root_admission.ts
+++ b/src/engine/relay/common/root_admission.ts
@@ -71,7 +71,7 @@
   }
 
   /** Counts a request. */
-  note(isAdmitted: boolean, nowMs: number): void {
+  record(isAdmitted: boolean, nowMs: number): void {
     const kept = 0.5 ** ((nowMs - this.#notedAtMs) / HALF_LIFE_MS);
     this.#asked = this.#asked * kept + 1;
     this.#admitted = this.#admitted * kept + (isAdmitted ? 1 : 0);
--- a/src/engine/relay/common/route_waiters.ts
+++ b/src/engine/relay/common/route_waiters.ts
@@ -28,7 +28,7 @@
   }
 
   /** Takes the requests whose time has come. */
-  takeLate(nowMs: number): readonly T[] {
+  takeExpired(nowMs: number): readonly T[] {
     const late = this.#waiters.filter(({ endMs }) => endMs <= nowMs);
     if (late.length > 0) {
       this.#waiters = this.#waiters.filter(({ endMs }) => endMs > nowMs);
--- a/src/engine/relay/common/start_wait.ts
+++ b/src/engine/relay/common/start_wait.ts
@@ -11,7 +11,7 @@
 export interface StartWait {
   readonly arrivedAtMs: number;
   /** How long its caller waits in all. */
-  readonly patienceMs: number;
+  readonly callerTimeoutMs: number;
 }
 
 /**
@@ -40,5 +40,6 @@
 }
 
 function computeWaitEndMs(wait: StartWait, mostMs: number): number {
-  return wait.arrivedAtMs + Math.min(mostMs, wait.patienceMs / PATIENCE_PART);
+  return wait.arrivedAtMs +
+    Math.min(mostMs, wait.callerTimeoutMs / PATIENCE_PART);
 }
--- a/src/engine/relay/node/backend_client.ts
+++ b/src/engine/relay/node/backend_client.ts
@@ -208,11 +208,11 @@
     this.#send = send;
   }
 
-  get hasBegun(): boolean {
+  get hasStartedSending(): boolean {
     return this.#hasBegun;
   }
 
-  breakOff(): void {
+  abort(): void {
     this.#isAborted = true;
     this.#isEnded = true;
     this.#controller?.abort(new Error("Broken off"));
--- a/src/engine/relay/node/caller_connection.ts
+++ b/src/engine/relay/node/caller_connection.ts
@@ -77,11 +77,11 @@
     const { response } = exchange;
     const next = this.#pipeline.add(exchange);
     if (!response.shouldKeepAlive) {
-      this.#pipeline.stopTaking();
+      this.#pipeline.stopAccepting();
     }
     response.on("close", () => this.#end(exchange));
     this.#startAll(next);
-    if (this.#pipeline.isFull) {
+    if (this.#pipeline.hasWaiting) {
       this.#socket.pause();
     }
   }
@@ -93,14 +93,14 @@
   closeIfLast(exchange: Exchange): boolean {
     const isLast = this.#pipeline.isLast(exchange);
     if (isLast) {
-      this.#pipeline.stopTaking();
+      this.#pipeline.stopAccepting();
     }
     return isLast;
   }
 
   /** Takes nothing more, and closes once all has been answered. */
   stopTaking(): void {
-    this.#pipeline.stopTaking();
+    this.#pipeline.stopAccepting();
     this.#endIfIdle();
   }
 
@@ -111,7 +111,7 @@
       return;
     }
     this.#startAll(next);
-    if (!this.#pipeline.isFull) {
+    if (!this.#pipeline.hasWaiting) {
       this.#socket.resume();
     }
     this.#endIfIdle();
--- a/src/engine/relay/node/caller_replies.ts
+++ b/src/engine/relay/node/caller_replies.ts
@@ -55,8 +55,8 @@
   replyLater(exchange: Exchange, status: number, retryAfterMs: number): void {
     const { dialect, readClock, draw } = this.#options;
     const { request, arrivedAtMs } = exchange;
-    const { patienceMs = DEFAULT_PATIENCE_MS } = dialect
-      .readTerms(request.headers);
+    const { timeoutMs: patienceMs = DEFAULT_PATIENCE_MS } = dialect
+      .readRequestMetadata(request.headers);
     const timeLeftMs = arrivedAtMs + patienceMs - readClock();
     const afterMs = spreadRetry(retryAfterMs, { timeLeftMs, draw: draw() });
     this.#write(exchange, status, createRetryHeaders(afterMs), EMPTY);
--- a/src/engine/relay/node/caller_server.ts
+++ b/src/engine/relay/node/caller_server.ts
@@ -135,9 +135,9 @@
   /** Gives up requests that have waited as long as they may. */
   tick(): void {
     const nowMs = this.#options.readClock();
-    this.#waiters.takeLate(nowMs)
+    this.#waiters.takeExpired(nowMs)
       .forEach((exchange) => this.#refuseEarly(exchange, "no routes yet"));
-    this.#unsure.takeLate(nowMs)
+    this.#unsure.takeExpired(nowMs)
       .forEach((exchange) => this.#refuseEarly(exchange, "not told in time"));
     if (!this.#unsure.isEmpty) {
       // What was asked for last may have come too early to answer them.
@@ -226,9 +226,10 @@
     reason: string,
   ): void {
     const { request, arrivedAtMs } = exchange;
-    const { patienceMs = DEFAULT_PATIENCE_MS } = this.#options.dialect
-      .readTerms(request.headers);
-    if (!waiters.add(exchange, { arrivedAtMs, patienceMs })) {
+    const { timeoutMs: patienceMs = DEFAULT_PATIENCE_MS } = this.#options
+      .dialect
+      .readRequestMetadata(request.headers);
+    if (!waiters.add(exchange, { arrivedAtMs, callerTimeoutMs: patienceMs })) {
       this.#refuseEarly(exchange, reason);
     }
   }
@@ -247,7 +248,8 @@
     log.write({
       event: "RequestRefused",
       isFailure: true,
-      requestId: dialect.readTerms(exchange.request.headers).requestId,
+      requestId:
+        dialect.readRequestMetadata(exchange.request.headers).requestId,
       reason,
       routesVersion: this.#routes.version,
       ...inputs,
@@ -271,7 +273,7 @@
       return;
     }
     const { dialect, workspaces } = this.#options;
-    const { key } = dialect.readTerms(request.headers);
+    const { key } = dialect.readRequestMetadata(request.headers);
     const checked = workspaces.check(key, exchange.arrivedAtMs);
     if (this.#hasEntered(exchange, checked)) {
       await this.#readAndStart(exchange, found, checked.workspace);
@@ -381,8 +383,8 @@
   ): void {
     const { request, arrivedAtMs } = exchange;
     const { dialect, getCallerService, readClock, startCall } = this.#options;
-    const { requestId, patienceMs = DEFAULT_PATIENCE_MS } = dialect
-      .readTerms(request.headers);
+    const { requestId, timeoutMs: patienceMs = DEFAULT_PATIENCE_MS } = dialect
+      .readRequestMetadata(request.headers);
     if (requestId === undefined) {
       this.#replies.reply(exchange, 400);
       return;
--- a/src/engine/relay/node/entry_calls.ts
+++ b/src/engine/relay/node/entry_calls.ts
@@ -12,11 +12,11 @@
   MeshFrame,
 } from "../../mesh/common/frames.ts";
 import {
-  createBudgeted,
+  createBudgetedCall,
+  createCallOpened,
   createEntryCall,
-  createOpening,
-  createRefusal,
-  MIN_RETRY_MS,
+  createFailure,
+  MIN_RETRY_AFTER_MS,
 } from "../common/entry_call.ts";
 import type { EntryCall } from "../common/entry_call.ts";
 import {
@@ -25,7 +25,10 @@
   createWithdrawnLine,
 } from "../common/entry_lines.ts";
 import { EntryBudget } from "../common/entry_budget.ts";
-import type { BudgetCounts, BudgetTerms } from "../common/entry_budget.ts";
+import type {
+  BudgetCounts,
+  RetryBudgetLimits,
+} from "../common/entry_budget.ts";
 import { decideNextStep } from "../common/entry_decision.ts";
 import type { NextStep } from "../common/entry_decision.ts";
 import type {
@@ -35,12 +38,12 @@
   RetryCause,
 } from "../common/entry_types.ts";
 import {
+  CALL_STALL_LIMIT_MS,
   isMemberSilent,
+  LINK_SILENCE_LIMIT_MS,
   measureCallSilence,
-  SILENCE_MS,
-  STALLED_MS,
 } from "../common/link_silence.ts";
-import { noteResult } from "../common/member.ts";
+import { recordResult } from "../common/member.ts";
 import type { MemberTable } from "../common/member_table.ts";
 import {
   AdmittedShare,
@@ -67,7 +70,7 @@
 export interface EntryCallsOptions {
   readonly dataCentre: string;
   readonly members: MemberTable;
-  readonly budget: BudgetTerms;
+  readonly budget: RetryBudgetLimits;
   readonly path: MeshPath;
   readonly readClock: () => number;
   readonly draw: () => number;
@@ -129,7 +132,7 @@
     const nowMs = this.#options.readClock();
     return new Map(
       this.#budget.listServices()
-        .map((name) => [name, this.#budget.count(name, nowMs)]),
+        .map((name) => [name, this.#budget.countAttempts(name, nowMs)]),
     );
   }
 
@@ -149,7 +152,10 @@
     if (!request.isNested && this.#refuseRoot(call)) {
       return () => {};
     }
-    this.#budget.noteFirst(createBudgeted(call), request.arrivedAtMs);
+    this.#budget.recordFirstAttempt(
+      createBudgetedCall(call),
+      request.arrivedAtMs,
+    );
     this.#options.noteAttempt(service, "first");
     this.#send(call);
     return () => this.#withdraw(call);
@@ -204,9 +210,11 @@
       if (nowMs >= call.request.deadlineMs) {
         this.#cancelAttempt(call);
         this.#finish(call, { type: "Expired" }, "time limit", { silenceMs });
-      } else if (silenceMs > SILENCE_MS) {
+      } else if (silenceMs > LINK_SILENCE_LIMIT_MS) {
         silent.add(call.attempt!.address);
-      } else if (silenceMs > STALLED_MS && this.#canRepeat(call, nowMs)) {
+      } else if (
+        silenceMs > CALL_STALL_LIMIT_MS && this.#canRepeat(call, nowMs)
+      ) {
         this.#cancelAttempt(call);
         this.#fail(call, STALLED);
       }
@@ -221,9 +229,9 @@
     const { members, getLastRank } = this.#options;
     const { route, rank, target, body, arrivedAtMs } = call.request;
     const { pressure } = members
-      .computeWayPressure(call.service, route.name, arrivedAtMs);
+      .computePathPressure(call.service, route.name, arrivedAtMs);
     if (pressure === 0) {
-      this.#admitted.note(true, arrivedAtMs);
+      this.#admitted.record(true, arrivedAtMs);
       return false;
     }
     const lastRank = getLastRank();
@@ -232,7 +240,7 @@
     const draw = drawForRequest(asked, arrivedAtMs);
     const inputs = { lastRank, pressure, admittedShare };
     const isRefused = isRootRefused({ rank, draw, ...inputs });
-    this.#admitted.note(!isRefused, arrivedAtMs);
+    this.#admitted.record(!isRefused, arrivedAtMs);
     if (isRefused) {
       const failure = { type: "Refused", retryAfterMs: ROOT_RETRY_MS } as const;
       this.#finish(call, failure, "pressure", inputs);
@@ -251,7 +259,7 @@
 
   /** Whether a call would go elsewhere if its attempt were given up. */
   #canRepeat(call: EntryCall, nowMs: number): boolean {
-    const step = this.#decide(call, "unknown", call.handedOver + 1, nowMs);
+    const step = this.#decide(call, "unknown", call.handoverCount + 1, nowMs);
     return step.type === "TryElsewhere";
   }
 
@@ -289,7 +297,7 @@
     call.tried.add(address);
     call.attempt = { member, address, call: call.id, sentAtMs: nowMs };
     const { body } = call.request;
-    path.send(address, createOpening(call));
+    path.send(address, createCallOpened(call));
     for (const bytes of listFurtherParts(body)) {
       path.send(address, { type: "BodyPart", call: call.id, bytes });
     }
@@ -302,11 +310,12 @@
       !this.#options.members.isComplete(call.service);
     if (
       mayCome && this.#waiting.size < MAX_WAITING &&
-      nowMs < computeMemberWaitEndMs({ arrivedAtMs, patienceMs })
+      nowMs <
+        computeMemberWaitEndMs({ arrivedAtMs, callerTimeoutMs: patienceMs })
     ) {
       this.#waiting.add(call);
     } else {
-      this.#finish(call, createRefusal(call), "no member");
+      this.#finish(call, createFailure(call), "no member");
     }
   }
 
@@ -320,7 +329,7 @@
   #openAnswer(address: string, opened: AnswerOpened): void {
     const { members, readClock } = this.#options;
     const nowMs = readClock();
-    members.noteLoad(address, opened.load, nowMs);
+    members.recordLoad(address, opened.load, nowMs);
     const call = this.#find(address, opened.call);
     if (call === undefined) {
       return;
@@ -351,7 +360,7 @@
 
   #takeFailure(address: string, frame: CallFailed): void {
     const { members, readClock } = this.#options;
-    members.noteLoad(address, frame.load, readClock());
+    members.recordLoad(address, frame.load, readClock());
     const call = this.#find(address, frame.call);
     if (call === undefined) {
       return;
@@ -359,7 +368,7 @@
     if (frame.reason === "other_service") {
       members.removeAddress(call.service, address);
     }
-    call.retryAfterMs = Math.max(MIN_RETRY_MS, frame.retryAfterMs);
+    call.retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, frame.retryAfterMs);
     const { kind, reason } = frame;
     this.#fail(call, { kind, cause: RETRY_CAUSES[kind], reason });
   }
@@ -367,9 +376,9 @@
   #takeLoad(address: string, frame: LoadReported): void {
     const { members, readClock, hearCallers } = this.#options;
     const nowMs = readClock();
-    members.noteLoad(address, frame.load, nowMs);
+    members.recordLoad(address, frame.load, nowMs);
     if (frame.below !== undefined) {
-      members.noteBelow(address, frame.below, nowMs);
+      members.recordDownstreamPressure(address, frame.below, nowMs);
     }
     if (frame.callers.length > 0) {
       hearCallers(address, frame.callers);
@@ -381,11 +390,11 @@
     const { member } = call.attempt!;
     if (kind === "unknown" || kind === "rejected") {
       this.#noteResult(call, true, nowMs);
-      call.handedOver += 1;
+      call.handoverCount += 1;
       call.mayHaveRun ||= kind === "unknown";
     }
     this.#releaseAttempt(call);
-    const step = this.#decide(call, kind, call.handedOver, nowMs);
+    const step = this.#decide(call, kind, call.handoverCount, nowMs);
     switch (step.type) {
       case "TryElsewhere":
         this.#options.noteAttempt(call.service, cause);
@@ -394,18 +403,18 @@
           kind,
           cause,
           reason,
-          budget: this.#budget.count(call.service, nowMs),
+          budget: this.#budget.countAttempts(call.service, nowMs),
           nowMs,
         }));
-        if (step.isArrival) {
-          this.#budget.noteRetry(createBudgeted(call), nowMs);
+        if (step.isBudgeted) {
+          this.#budget.recordRetry(createBudgetedCall(call), nowMs);
         } else {
-          call.rerouted += 1;
+          call.rerouteCount += 1;
         }
         this.#send(call);
         return;
       case "Refuse":
-        this.#finish(call, createRefusal(call), reason);
+        this.#finish(call, createFailure(call), reason);
         return;
       case "FailUnknown":
         this.#finish(call, { type: "Unknown" }, reason);
@@ -419,14 +428,14 @@
   /** Notes an answer, or its absence, at the member that the call is at. */
   #noteResult(call: EntryCall, isFailure: boolean, nowMs: number): void {
     const { member } = call.attempt!;
-    if (noteResult(member, isFailure, nowMs)) {
+    if (recordResult(member, isFailure, nowMs)) {
       this.#options.log.write({
         event: "MemberLeftOut",
         isFailure: true,
         requestId: call.request.requestId,
         service: call.service,
         member: member.announcement.ingress,
-        failures: member.failures,
+        failures: member.consecutiveFailures,
         failureShare: member.failureShare,
         forMs: member.ejectedUntilMs - nowMs,
       });
@@ -446,17 +455,17 @@
     );
     const context = {
       nodes: members.countNodes(),
-      hasCallsBelow: members.hasCallsBelow(call.service, route.name),
+      hasDownstreamCalls: members.hasDownstreamCalls(call.service, route.name),
     };
     return decideNextStep({
       kind,
       isIdempotent: route.isIdempotent,
-      handedOver,
+      handoverCount: handedOver,
       mayHaveRun: call.mayHaveRun,
       maxAttempts: route.maxAttempts,
-      rerouted: call.rerouted,
+      rerouteCount: call.rerouteCount,
       timeLeftMs: deadlineMs - nowMs,
-      canRetry: this.#budget.canRetry(createBudgeted(call), context, nowMs),
+      canRetry: this.#budget.canRetry(createBudgetedCall(call), context, nowMs),
       hasOtherMember: others.length > 0,
     });
   }
--- a/src/engine/relay/node/gate_calls.ts
+++ b/src/engine/relay/node/gate_calls.ts
@@ -19,8 +19,8 @@
 import {
   computeRetryAfterMs,
   createGate,
-  createLoad,
-  isSameLife,
+  createLoadFigures,
+  isSameProcessInstance,
   reduceGate,
 } from "../common/gate.ts";
 import type { GateEffect, GateEvent, LocalBackend } from "../common/gate.ts";
@@ -89,12 +89,12 @@
 
   /** Reads the load for those who choose. */
   readLoad(): LoadFigures {
-    return createLoad(this.#gate);
+    return createLoadFigures(this.#gate);
   }
 
   /** Whether calls of a link are in progress. */
   hasCalls(source: string): boolean {
-    return this.#calls.hasAny(source);
+    return this.#calls.hasCallsOfLink(source);
   }
 
   /** Takes what the backend server announces of itself. */
@@ -102,7 +102,8 @@
     const before = this.#gate.backend ?? this.#lastBackend;
     this.#lastBackend = backend ?? before;
     const isReplaced = before !== undefined && backend !== undefined &&
-      before.address === backend.address && !isSameLife(before, backend);
+      before.address === backend.address &&
+      !isSameProcessInstance(before, backend);
     const former = isReplaced ? this.#takeRunning() : [];
     this.#step({ type: "BackendChanged", backend });
     former.forEach((call) => this.#fail(call, "unknown", "backend_restarted"));
@@ -113,7 +114,7 @@
     this.#step({ type: "Ticked" });
     this.#endOverdue();
     const { log, readClock } = this.#options;
-    const line = this.#loadLog.note(this.#gate, readClock());
+    const line = this.#loadLog.sample(this.#gate, readClock());
     if (line !== undefined) {
       log.write(line);
     }
@@ -151,7 +152,7 @@
         this.#open({ source, opened: frame, send, delayMs });
         return;
       case "BodyPart": {
-        const call = this.#calls.find(source, frame.call);
+        const call = this.#calls.findByLink(source, frame.call);
         call?.body.add(frame.bytes);
         if (call?.phase === "receiving" && call.body.isWhole) {
           this.#admitOnceRead(call);
@@ -159,7 +160,7 @@
         return;
       }
       case "CallCancelled": {
-        const call = this.#calls.find(source, frame.call);
+        const call = this.#calls.findByLink(source, frame.call);
         if (call !== undefined) {
           this.#cancel(call, "caller left");
         }
@@ -177,10 +178,10 @@
 
   /** A link is gone: nobody waits for its calls any more. */
   loseSource(source: string): void {
-    for (const call of this.#calls.listOfLink(source)) {
+    for (const call of this.#calls.listByLink(source)) {
       this.#cancel(call, "link lost");
     }
-    this.#calls.forgetLink(source);
+    this.#calls.removeLink(source);
     this.#callerServices.delete(source);
   }
 
@@ -196,7 +197,7 @@
     const dueMs = this.#options.readClock() - OVERDUE_MS;
     for (const call of [...this.#calls.list()]) {
       if (call.deadlineMs < dueMs) {
-        call.exchange?.breakOff();
+        call.exchange?.abort();
         this.#fail(call, "expired", "no answer at the deadline");
       }
     }
@@ -210,7 +211,7 @@
   #takeRunning(): readonly GateCallState[] {
     const running = [...this.#calls.list()]
       .filter(({ phase }) => phase === "running");
-    running.forEach((call) => call.exchange?.breakOff());
+    running.forEach((call) => call.exchange?.abort());
     this.#client?.[Symbol.asyncDispose]();
     this.#client = undefined;
     return running;
@@ -230,9 +231,9 @@
       body: new BodyCollector(opened.bodyBytes, opened.body),
       deadlineMs: opened.deadlineMs,
       arrivedAtMs,
-      onWayMs: delayMs,
+      transitDelayMs: delayMs,
       send,
-      source,
+      linkId: source,
       phase: "receiving",
       startedAtMs: 0,
       exchange: undefined,
@@ -245,7 +246,7 @@
     const service = this.#gate.backend?.service;
     if (service !== undefined && service !== opened.service) {
       this.#fail(call, "refused", "other_service");
-    } else if (this.#calls.isOverfull(opened.bodyBytes)) {
+    } else if (this.#calls.isOverBodyLimit(opened.bodyBytes)) {
       this.#fail(call, "refused", "memory");
     } else if (call.body.isWhole) {
       this.#admitOnceRead(call);
@@ -351,7 +352,7 @@
   /** An answer that isn't this request's must not be read to its end. */
   #checkHead(head: BackendHead, requestId: string): string | undefined {
     const { status, headers } = head;
-    const { judgeAnswer } = this.#options.dialect;
+    const { validateAnswer: judgeAnswer } = this.#options.dialect;
     const judgement = judgeAnswer({ status, headers, requestId });
     return judgement.type === "Foreign" ? judgement.reason : undefined;
   }
@@ -381,7 +382,7 @@
     const { dialect, readClock } = this.#options;
     const { status, headers, rawHeaders } = head;
     const { requestId } = call.opened;
-    const judgement = dialect.judgeAnswer({ status, headers, requestId });
+    const judgement = dialect.validateAnswer({ status, headers, requestId });
     switch (judgement.type) {
       case "NotRun":
         this.#fail(call, "rejected", judgement.reason);
@@ -447,11 +448,11 @@
    * ran. A call that waits for a connection has not begun.
    */
   #cancel(call: GateCallState, reason: string): void {
-    const wasRunning = call.exchange?.hasBegun ?? false;
+    const wasRunning = call.exchange?.hasStartedSending ?? false;
     if (wasRunning && !call.opened.isIdempotent) {
       return;
     }
-    call.exchange?.breakOff();
+    call.exchange?.abort();
     if (call.phase === "waiting") {
       this.#step({ type: "CallWithdrawn", id: call.id });
     }
--- a/src/engine/relay/test/call_tree_budget_test.ts
+++ b/src/engine/relay/test/call_tree_budget_test.ts
@@ -71,12 +71,12 @@
         { startedAtMs, draw },
       );
       return {
-        noteFirst: (call, nowMs) => budget.noteFirst(call, nowMs),
-        noteRetry: (call, nowMs) => budget.noteRetry(call, nowMs),
+        noteFirst: (call, nowMs) => budget.recordFirstAttempt(call, nowMs),
+        noteRetry: (call, nowMs) => budget.recordRetry(call, nowMs),
         canRetry: (call, nowMs) =>
           budget.canRetry(
             call,
-            { nodes, hasCallsBelow: call.hasCallsBelow },
+            { nodes, hasDownstreamCalls: call.hasDownstreamCalls },
             nowMs,
           ),
       };
--- a/src/engine/relay/test/caller_server_test.ts
+++ b/src/engine/relay/test/caller_server_test.ts
@@ -7,7 +7,7 @@
 import type { Route } from "../../routes/common/route_table.ts";
 import type { CallDialect } from "../common/dialect.ts";
 import type { EntryRequest, EntryResult } from "../common/entry_types.ts";
-import { MAX_STARTED } from "../common/pipeline.ts";
+import { MAX_CONCURRENT_EXCHANGES } from "../common/pipeline.ts";
 import { MAX_WAITING } from "../common/start_wait.ts";
 import { readBothClocks } from "../../../base/node/steady_clock.ts";
 import { WorkspaceCheck } from "../../workspaces/common/workspace_check.ts";
@@ -20,10 +20,10 @@
 /** Longest time that a test waits for something. */
 const WAIT_MS = 5_000;
 const DIALECT: CallDialect = {
-  readTerms: () => ({ requestId: "r", patienceMs: 5_000, key: KEY }),
+  readRequestMetadata: () => ({ requestId: "r", timeoutMs: 5_000, key: KEY }),
   createCallHeaders: () => [],
   createBackendHeaders: ({ headers }) => headers,
-  judgeAnswer: () => ({ type: "Answered" }),
+  validateAnswer: () => ({ type: "Answered" }),
   createAnswerHeaders: () => [],
   readLoad: () => undefined,
 };
@@ -331,12 +331,12 @@
   it("wait in bounded number", async () => {
     await using callers = await Callers.open(false);
     const connections = Array.from(
-      { length: MAX_WAITING / MAX_STARTED + 1 },
-      () => callers.connect(formatRequests(MAX_STARTED)),
+      { length: MAX_WAITING / MAX_CONCURRENT_EXCHANGES + 1 },
+      () => callers.connect(formatRequests(MAX_CONCURRENT_EXCHANGES)),
     );
     const countAnswers = () =>
       connections.reduce((sum, one) => sum + listStatuses(one).length, 0);
-    await waitFor(() => countAnswers() === MAX_STARTED);
+    await waitFor(() => countAnswers() === MAX_CONCURRENT_EXCHANGES);
     callers.learnRoutes();
     await waitFor(() => callers.started.length === MAX_WAITING);
     connections.forEach(({ socket }) => socket.destroy());
@@ -361,43 +361,53 @@
 
   it("begin no more than a bound, and go on as others end", async () => {
     await using callers = await Callers.open();
-    const connection = callers.connect(formatRequests(MAX_STARTED + 5));
-    await waitFor(() => callers.started.length === MAX_STARTED);
+    const connection = callers.connect(
+      formatRequests(MAX_CONCURRENT_EXCHANGES + 5),
+    );
+    await waitFor(() => callers.started.length === MAX_CONCURRENT_EXCHANGES);
     await sleep(50);
-    expect(callers.started).to.have.length(MAX_STARTED);
+    expect(callers.started).to.have.length(MAX_CONCURRENT_EXCHANGES);
     callers.ends[0]!();
-    await waitFor(() => callers.started.length === MAX_STARTED + 1);
+    await waitFor(() =>
+      callers.started.length === MAX_CONCURRENT_EXCHANGES + 1
+    );
     connection.socket.write(formatRequests(2, 50));
     await sleep(50);
-    while (callers.ends.length < MAX_STARTED + 7) {
+    while (callers.ends.length < MAX_CONCURRENT_EXCHANGES + 7) {
       callers.ends.forEach((end) => end());
       await sleep(5);
     }
     callers.ends.forEach((end) => end());
-    await waitFor(() => listStatuses(connection).length === MAX_STARTED + 7);
+    await waitFor(() =>
+      listStatuses(connection).length === MAX_CONCURRENT_EXCHANGES + 7
+    );
     connection.socket.destroy();
   });
 
   it("hold back nothing of other connections", async () => {
     await using callers = await Callers.open();
-    const full = callers.connect(formatRequests(MAX_STARTED + 5));
-    await waitFor(() => callers.started.length === MAX_STARTED);
+    const full = callers.connect(formatRequests(MAX_CONCURRENT_EXCHANGES + 5));
+    await waitFor(() => callers.started.length === MAX_CONCURRENT_EXCHANGES);
     const other = callers.connect(formatRequests(1));
-    await waitFor(() => callers.started.length === MAX_STARTED + 1);
-    callers.ends[MAX_STARTED]!();
+    await waitFor(() =>
+      callers.started.length === MAX_CONCURRENT_EXCHANGES + 1
+    );
+    callers.ends[MAX_CONCURRENT_EXCHANGES]!();
     await waitFor(() => listStatuses(other).length === 1);
     [full, other].forEach(({ socket }) => socket.destroy());
   });
 
   it("are all withdrawn when their caller leaves", async () => {
     await using callers = await Callers.open();
-    const connection = callers.connect(formatRequests(MAX_STARTED + 3));
-    await waitFor(() => callers.started.length === MAX_STARTED);
+    const connection = callers.connect(
+      formatRequests(MAX_CONCURRENT_EXCHANGES + 3),
+    );
+    await waitFor(() => callers.started.length === MAX_CONCURRENT_EXCHANGES);
     connection.socket.destroy();
     await waitFor(() => callers.server.openCount === 0);
-    expect(callers.withdrawn).to.have.length(MAX_STARTED);
+    expect(callers.withdrawn).to.have.length(MAX_CONCURRENT_EXCHANGES);
     await sleep(50);
-    expect(callers.started).to.have.length(MAX_STARTED);
+    expect(callers.started).to.have.length(MAX_CONCURRENT_EXCHANGES);
   });
 
   it("are not begun behind a request that closes the connection", async () => {
--- a/src/engine/relay/test/entry_budget_test.ts
+++ b/src/engine/relay/test/entry_budget_test.ts
@@ -4,8 +4,8 @@
 import type { BudgetedCall } from "../common/entry_budget.ts";
 
 const TERMS = { ratio: 0.2, slack: 80, windowS: 10 };
-const LEAF = { nodes: 8, hasCallsBelow: false };
-const INNER = { nodes: 8, hasCallsBelow: true };
+const LEAF = { nodes: 8, hasDownstreamCalls: false };
+const INNER = { nodes: 8, hasDownstreamCalls: true };
 const CALL = { service: "s", route: "r", isNested: true, repeatShare: 0 };
 /** Whole windows after the start. */
 const NOW_MS = 101_000;
@@ -21,7 +21,7 @@
 ): number {
   let count = 0;
   while (count < 1_000 && budget.canRetry(call, context, nowMs)) {
-    budget.noteRetry(call, nowMs);
+    budget.recordRetry(call, nowMs);
     count += 1;
   }
   return count;
@@ -36,7 +36,7 @@
 ): EntryBudget {
   const budget = new EntryBudget(TERMS, { startedAtMs: 0, draw: () => draw });
   for (let n = 0; n < firsts; n += 1) {
-    budget.noteFirst(call, NOW_MS);
+    budget.recordFirstAttempt(call, NOW_MS);
   }
   return budget;
 }
@@ -70,7 +70,7 @@
     const budget = createBudget(100);
     const call = { ...CALL, repeatShare: 1 };
     for (let n = 0; n < 20; n += 1) {
-      budget.noteFirst(call, NOW_MS);
+      budget.recordFirstAttempt(call, NOW_MS);
     }
     expect(countRetries(budget)).to.equal(5 + 20 - 20);
     expect(countRetries(budget, { context: INNER })).to.equal(0);
@@ -89,7 +89,7 @@
   it("forgets routes that nobody calls any more", () => {
     const budget = createBudget(1);
     const other = { ...CALL, service: "other" };
-    budget.noteFirst(other, NOW_MS + 20_000);
+    budget.recordFirstAttempt(other, NOW_MS + 20_000);
     expect(budget.listServices()).to.deep.equal(["other"]);
   });
 
--- a/src/engine/relay/test/entry_calls_test.ts
+++ b/src/engine/relay/test/entry_calls_test.ts
@@ -244,7 +244,7 @@
 
   it("is refused at once where all were told", () => {
     const entry = new Entry();
-    entry.members.noteComplete("warehouse");
+    entry.members.markComplete("warehouse");
     entry.start();
     expect(entry.results.map(({ type }) => type)).to.deep.equal(["Failed"]);
   });
--- a/src/engine/relay/test/entry_decision_test.ts
+++ b/src/engine/relay/test/entry_decision_test.ts
@@ -6,10 +6,10 @@
 const ATTEMPT: FailedAttempt = {
   kind: "refused",
   isIdempotent: true,
-  handedOver: 0,
+  handoverCount: 0,
   mayHaveRun: false,
   maxAttempts: 2,
-  rerouted: 0,
+  rerouteCount: 0,
   timeLeftMs: 500,
   canRetry: true,
   hasOtherMember: true,
@@ -18,7 +18,7 @@
 function decide(change: Partial<FailedAttempt>): string {
   const step = decideNextStep({ ...ATTEMPT, ...change });
   return step.type === "TryElsewhere"
-    ? `${step.type} ${step.isArrival ? "budgeted" : "free"}`
+    ? `${step.type} ${step.isBudgeted ? "budgeted" : "free"}`
     : step.type;
 }
 
@@ -28,14 +28,14 @@
   });
 
   it("is refused in the end, where it ran nowhere", () => {
-    expect(decide({ rerouted: 2 })).to.equal("Refuse");
+    expect(decide({ rerouteCount: 2 })).to.equal("Refuse");
     expect(decide({ hasOtherMember: false })).to.equal("Refuse");
     expect(decide({ timeLeftMs: 5 })).to.equal("Refuse");
   });
 
   it("is never called refused where an earlier one may have run", () => {
     const ran = { handedOver: 1, mayHaveRun: true };
-    expect(decide({ ...ran, rerouted: 2 })).to.equal("FailUnknown");
+    expect(decide({ ...ran, rerouteCount: 2 })).to.equal("FailUnknown");
     expect(decide({ ...ran, kind: "rejected", canRetry: false }))
       .to.equal("FailUnknown");
   });
@@ -43,25 +43,27 @@
   it("is refused where each backend server said that it didn't run it", () => {
     const rejected = { kind: "rejected", handedOver: 2 } as const;
     expect(decide(rejected)).to.equal("Refuse");
-    expect(decide({ ...rejected, handedOver: 1, isIdempotent: false }))
+    expect(decide({ ...rejected, handoverCount: 1, isIdempotent: false }))
       .to.equal("TryElsewhere budgeted");
   });
 
   it("of unknown outcome is repeated only where that does no harm", () => {
     const kind = "unknown";
     const mayHaveRun = true;
-    expect(decide({ kind, mayHaveRun, handedOver: 1 })).to.equal(
+    expect(decide({ kind, mayHaveRun, handoverCount: 1 })).to.equal(
       "TryElsewhere budgeted",
     );
-    expect(decide({ kind, mayHaveRun, handedOver: 1, isIdempotent: false }))
+    expect(decide({ kind, mayHaveRun, handoverCount: 1, isIdempotent: false }))
       .to.equal("FailUnknown");
   });
 
   it("isn't repeated beyond the attempts or the budget", () => {
     const kind = "unknown";
     const mayHaveRun = true;
-    expect(decide({ kind, mayHaveRun, handedOver: 2 })).to.equal("FailUnknown");
-    expect(decide({ kind, mayHaveRun, handedOver: 1, canRetry: false }))
+    expect(decide({ kind, mayHaveRun, handoverCount: 2 })).to.equal(
+      "FailUnknown",
+    );
+    expect(decide({ kind, mayHaveRun, handoverCount: 1, canRetry: false }))
       .to.equal("FailUnknown");
   });
 });
--- a/src/engine/relay/test/gate_fakes.ts
+++ b/src/engine/relay/test/gate_fakes.ts
@@ -5,14 +5,14 @@
 
 /** A dialect without headers of its own. */
 export const DIALECT: CallDialect = {
-  readTerms: () => ({
+  readRequestMetadata: () => ({
     requestId: undefined,
-    patienceMs: undefined,
+    timeoutMs: undefined,
     key: undefined,
   }),
   createCallHeaders: (headers) => headers,
   createBackendHeaders: ({ headers }) => headers,
-  judgeAnswer: () => ({ type: "Answered" }),
+  validateAnswer: () => ({ type: "Answered" }),
   createAnswerHeaders: (headers) => headers,
   readLoad: () => undefined,
 };
@@ -55,6 +55,6 @@
     dataCentre: "a",
     slots: 2,
     isDraining: false,
-    warmUntilMs: 0,
+    warmUpEndMs: 0,
   };
 }
--- a/src/engine/relay/test/gate_load_log_test.ts
+++ b/src/engine/relay/test/gate_load_log_test.ts
@@ -8,19 +8,19 @@
     const gate = createGate();
     const log = new GateLoadLog();
     for (let nowMs = 0; nowMs <= 3_000; nowMs += 20) {
-      expect(log.note(gate, nowMs)).to.equal(undefined);
+      expect(log.sample(gate, nowMs)).to.equal(undefined);
     }
   });
 
   it("says once a second how many places were taken under pressure", () => {
     const gate = createGate();
     const log = new GateLoadLog();
-    log.note(gate, 0);
+    log.sample(gate, 0);
     const lines = [];
     for (let nowMs = 20; nowMs <= 2_000; nowMs += 20) {
       gate.running = nowMs <= 500 ? 2 : 6;
       gate.pressure.pressure = nowMs === 700 ? 0.8 : 0.4;
-      lines.push(log.note(gate, nowMs));
+      lines.push(log.sample(gate, nowMs));
     }
     const said = lines.filter((line) => line !== undefined);
     expect(said).to.have.length(2);
--- a/src/engine/relay/test/gate_test.ts
+++ b/src/engine/relay/test/gate_test.ts
@@ -12,7 +12,7 @@
   dataCentre: "a",
   slots: 2,
   isDraining: false,
-  warmUntilMs: 0,
+  warmUpEndMs: 0,
 };
 
 function createCall(id: number, change: Partial<GateCall> = {}): GateCall {
--- a/src/engine/relay/test/idle_gate_test.ts
+++ b/src/engine/relay/test/idle_gate_test.ts
@@ -9,7 +9,7 @@
  * and refused 740 of the most urgent requests.
  */
 import { expect } from "chai";
-import { createGate, createLoad, reduceGate } from "../common/gate.ts";
+import { createGate, createLoadFigures, reduceGate } from "../common/gate.ts";
 import type { GateEffect, GateEvent, GateState } from "../common/gate.ts";
 
 const TICK_MS = 20;
@@ -51,7 +51,7 @@
         dataCentre: "a",
         slots: SLOTS,
         isDraining: false,
-        warmUntilMs: 0,
+        warmUpEndMs: 0,
       },
     });
     while (this.#nowMs < END_MS) {
@@ -61,7 +61,7 @@
         this.#arrive();
       }
       this.#step({ type: "Ticked" });
-      const { running, pressure } = createLoad(this.#gate);
+      const { running, pressure } = createLoadFigures(this.#gate);
       this.looks.push({ nowMs: this.#nowMs, running, pressure });
     }
   }
--- a/src/engine/relay/test/member_table_test.ts
+++ b/src/engine/relay/test/member_table_test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import type { Announcement } from "../../membership/common/announcement.ts";
 import { createAnnouncement, SERVICE, SLOTS } from "./announcements.ts";
-import { noteResult } from "../common/member.ts";
+import { recordResult } from "../common/member.ts";
 import { MemberTable } from "../common/member_table.ts";
 
 function createTable(...announcements: readonly Announcement[]): MemberTable {
@@ -51,8 +51,8 @@
   it("gives a slow one its share of the work, not of the calls", () => {
     const table = createTable(near, other);
     const load = { running: 0, queued: 0, limit: SLOTS, pressure: 0 };
-    table.noteLoad("near:1", { ...load, serviceMs: 10 }, 0);
-    table.noteLoad("other:1", { ...load, serviceMs: 20 }, 0);
+    table.recordLoad("near:1", { ...load, serviceMs: 10 }, 0);
+    table.recordLoad("other:1", { ...load, serviceMs: 20 }, 0);
     expect(fill(table, 15)).to.deep.equal({ "near:1": 10, "other:1": 5 });
   });
 
@@ -60,7 +60,7 @@
     const table = createTable(near, other);
     const failing = table.get(SERVICE, "near:1")!;
     for (let n = 0; n < 40; n += 1) {
-      noteResult(failing, n % 2 === 0, 0);
+      recordResult(failing, n % 2 === 0, 0);
     }
     const counts: Record<string, number> = {};
     for (let nowMs = 1_000; nowMs < 2_000; nowMs += 10) {
@@ -69,8 +69,8 @@
     }
     expect(counts["near:1"]).to.be.within(2, 3);
     const load = { running: 0, queued: 0, limit: SLOTS, serviceMs: 0 };
-    table.noteLoad("near:1", { ...load, pressure: 0 }, 2_000);
-    table.noteLoad("other:1", { ...load, pressure: 0.6 }, 2_000);
+    table.recordLoad("near:1", { ...load, pressure: 0 }, 2_000);
+    table.recordLoad("other:1", { ...load, pressure: 0.6 }, 2_000);
     expect(table.computePressure(SERVICE, 2_000).pressure).to.equal(0.6);
   });
 
@@ -78,7 +78,7 @@
     const table = createTable(near, other);
     const failing = table.get(SERVICE, "near:1")!;
     for (let count = 0; count < 50; count += 1) {
-      noteResult(failing, count % 5 < 2, 0);
+      recordResult(failing, count % 5 < 2, 0);
     }
     const calm = fill(table, SLOTS);
     expect(calm["other:1"]).to.be.at.least(SLOTS - 1);
@@ -93,7 +93,7 @@
     const spans: number[] = [];
     let nowMs = 0;
     const fail = () => {
-      noteResult(member, true, nowMs);
+      recordResult(member, true, nowMs);
       if (member.ejectedUntilMs > nowMs) {
         spans.push(member.ejectedUntilMs - nowMs);
         nowMs = member.ejectedUntilMs;
@@ -101,7 +101,7 @@
     };
     Array.from({ length: 7 }).forEach(fail);
     expect(spans).to.deep.equal([125, 250, 500, 1_000, 1_000]);
-    noteResult(member, false, nowMs);
+    recordResult(member, false, nowMs);
     spans.length = 0;
     Array.from({ length: 3 }).forEach(fail);
     expect(spans).to.deep.equal([125]);
@@ -112,7 +112,7 @@
     for (const address of ["near:1", "other:1"]) {
       const member = table.get(SERVICE, address)!;
       for (let n = 0; n < 40; n += 1) {
-        noteResult(member, n % 2 === 0, 0);
+        recordResult(member, n % 2 === 0, 0);
       }
     }
     expect(fill(table, 10)).to.deep.equal({ "near:1": 5, "other:1": 5 });
@@ -131,7 +131,7 @@
       pressure: 0,
       serviceMs: 0,
     };
-    table.noteLoad("near:1", load, 0);
+    table.recordLoad("near:1", load, 0);
     expect(fill(table, 4)).to.deep.equal({ "near:1": 4 });
   });
 
@@ -154,11 +154,11 @@
 
   it("is that of the narrowest service, here or below", () => {
     const table = createTable(createAnnouncement("a:1"));
-    table.noteLoad("a:1", load, 1_000);
-    table.noteBelow("a:1", [["lookup", 0.6, 100]], 1_000);
-    const way = table.computeWayPressure(SERVICE, "lookup", 1_000);
-    expect(way).to.deep.equal({ pressure: 0.6, saidAtMs: 900 });
-    expect(table.computeWayPressure(SERVICE, "view", 1_000).pressure)
+    table.recordLoad("a:1", load, 1_000);
+    table.recordDownstreamPressure("a:1", [["lookup", 0.6, 100]], 1_000);
+    const way = table.computePathPressure(SERVICE, "lookup", 1_000);
+    expect(way).to.deep.equal({ pressure: 0.6, reportedAtMs: 900 });
+    expect(table.computePathPressure(SERVICE, "view", 1_000).pressure)
       .to.equal(0.2);
   });
 
@@ -167,17 +167,21 @@
       createTable(createAnnouncement(at))
     );
     const calm = { ...load, pressure: 0 };
-    tables[0]!.noteLoad("a:1", calm, 0);
-    tables[0]!.noteBelow("a:1", [["lookup", 0.9, 0]], 0);
+    tables[0]!.recordLoad("a:1", calm, 0);
+    tables[0]!.recordDownstreamPressure("a:1", [["lookup", 0.9, 0]], 0);
     let last = 1;
     for (let nowMs = 0; nowMs <= 3_000; nowMs += 100) {
       const [from, to] = nowMs % 200 === 0 ? [0, 1] : [1, 0];
       const address = to === 0 ? "a:1" : "b:1";
-      const way = tables[from]!.computeWayPressure(SERVICE, "lookup", nowMs);
+      const way = tables[from]!.computePathPressure(SERVICE, "lookup", nowMs);
       last = way.pressure;
-      tables[to]!.noteLoad(address, calm, nowMs);
-      const ageMs = nowMs - way.saidAtMs;
-      tables[to]!.noteBelow(address, [["lookup", last, ageMs]], nowMs);
+      tables[to]!.recordLoad(address, calm, nowMs);
+      const ageMs = nowMs - way.reportedAtMs;
+      tables[to]!.recordDownstreamPressure(
+        address,
+        [["lookup", last, ageMs]],
+        nowMs,
+      );
     }
     expect(last).to.equal(0);
   });
--- a/src/engine/relay/test/pipeline_test.ts
+++ b/src/engine/relay/test/pipeline_test.ts
@@ -1,7 +1,7 @@
 /** The order of a connection's requests, whatever comes and ends when. */
 import { expect } from "chai";
 import fc from "fast-check";
-import { MAX_STARTED, Pipeline } from "../common/pipeline.ts";
+import { MAX_CONCURRENT_EXCHANGES, Pipeline } from "../common/pipeline.ts";
 
 describe("a connection's pipeline", () => {
   it("starts each request once, in order, and never too many", () => {
@@ -23,8 +23,8 @@
             started.push(exchange);
             running.add(exchange);
           }
-          expect(running.size).to.be.at.most(MAX_STARTED);
-          expect(pipeline.isFull).to.equal(started.length < added);
+          expect(running.size).to.be.at.most(MAX_CONCURRENT_EXCHANGES);
+          expect(pipeline.hasWaiting).to.equal(started.length < added);
         }
         expect(started).to.deep.equal([...started].sort((a, b) => a - b));
         expect(pipeline.size).to.equal(running.size + added - started.length);
@@ -39,7 +39,7 @@
     expect(pipeline.isLast("a")).to.equal(true);
     expect(pipeline.add("b")).to.deep.equal(["b"]);
     expect(pipeline.isLast("a")).to.equal(false);
-    pipeline.stopTaking();
+    pipeline.stopAccepting();
     expect(pipeline.add("c")).to.deep.equal([]);
     expect(pipeline.closeAll()).to.deep.equal(["a", "b"]);
     expect(pipeline.size).to.equal(0);
--- a/src/engine/relay/test/retry_simulation.ts
+++ b/src/engine/relay/test/retry_simulation.ts
@@ -21,7 +21,7 @@
   readonly service: string;
   readonly route: string;
   readonly isNested: boolean;
-  readonly hasCallsBelow: boolean;
+  readonly hasDownstreamCalls: boolean;
   readonly repeatShare: number;
 }
 
@@ -163,9 +163,9 @@
       service,
       route: name,
       isNested,
-      hasCallsBelow: calls.length > 0,
+      hasDownstreamCalls: calls.length > 0,
       repeatShare: isNested
-        ? from.repeated.computeShare(parents, this.#nowMs)
+        ? from.repeated.computeRepeatShare(parents, this.#nowMs)
         : 0,
     };
     from.budget.noteFirst(call, this.#nowMs);
@@ -204,7 +204,7 @@
         return;
       }
       const { repeatShare } = run;
-      node.repeated.noteBegun({ route: name, repeatShare }, atMs);
+      node.repeated.recordStart({ route: name, repeatShare }, atMs);
       const end = (isServed: boolean) => {
         done(isLost ? "lost" : isServed ? "served" : "failed");
       };
--- a/src/engine/relay/test/root_admission_test.ts
+++ b/src/engine/relay/test/root_admission_test.ts
@@ -58,7 +58,7 @@
         admittedShare: admitted.value,
         draw: draw(),
       });
-      admitted.note(!isRefused, n * 1_000 / ROOTS_PER_S);
+      admitted.record(!isRefused, n * 1_000 / ROOTS_PER_S);
       asked.all += 1;
       asked.last += isLast ? 1 : 0;
       begun.all += isRefused ? 0 : 1;
