--- a/src/engine/relay/common/dialect.ts
+++ b/src/engine/relay/common/dialect.ts
@@ -1,68 +1,70 @@
-/** How callers and backend servers speak: what an adapter provides. */
+/** The header dialect of callers and backend servers, as an adapter provides it. */
 import type { HeaderList, LoadFigures } from "../../mesh/common/frames.ts";
 
-/** Headers by their names in lower case, as Node's HTTP parser gives them. */
+/** Headers by lower-case name, as Node's HTTP parser returns them. */
 export type HeaderMap = Readonly<
   Record<string, string | readonly string[] | undefined>
 >;
 
-/** What a caller says of its request. */
+/** Metadata that a caller sends with its request. */
 export interface RequestMetadata {
-  /** Undefined where the caller sent none. */
+  /** Undefined if the caller sent no id. */
   readonly requestId: string | undefined;
-  /** How long the caller will wait; undefined where it doesn't say. */
+  /** How long the caller waits for its answer; undefined if it doesn't say. */
   readonly timeoutMs: number | undefined;
-  /** Key of a workspace, in clear text; undefined where there is none. */
+  /** Key of a workspace, in clear text; undefined if the caller sent none. */
   readonly key: string | undefined;
 }
 
-/** What a node says of where a request comes from, whatever its caller says. */
+/** Origin of a request, determined by the node and not by the caller. */
 export interface CallOrigin {
   /** Service whose backend server runs on the VM of the caller. */
   readonly service: string;
-  /** Name of the workspace whose key the request had. */
+  /** Name of the workspace that owns the request's key. */
   readonly workspace: string | undefined;
 }
 
-/** What the node says to the backend server about one request. */
+/** What the node sends to the backend server along with one request. */
 export interface BackendRequestContext {
   readonly headers: HeaderList;
+  /** Time until the deadline of the request. */
   readonly timeLeftMs: number;
-  /** The incarnation that shall run it, if one is known. */
+  /** Id of the instance that must run the request, if one is known. */
   readonly instanceId: string | undefined;
 }
 
-/** An answer's head, as the backend server sent it. */
+/** Head of an answer, as the backend server sent it. */
 export interface AnswerHead {
   readonly status: number;
   readonly headers: HeaderMap;
+  /** Id of the request that was sent on the connection. */
   readonly requestId: string;
 }
 
-/** What an answer's head says. */
+/** Result of validating the head of an answer. */
 export type AnswerValidation =
   /** The backend server's own answer to this request. */
   | { readonly type: "Answered" }
   /** The backend server did not run the request. */
   | { readonly type: "NotRun"; readonly reason: string }
-  /** Another incarnation has the address; it did not run the request. */
+  /** Another instance uses the address; it did not run the request. */
   | { readonly type: "WrongInstance" }
-  /** Not this request's answer: the connection can't be trusted. */
+  /** The answer to another request: the connection can't be reused. */
   | { readonly type: "Foreign"; readonly reason: string };
 
-/** Pure translations at the two edges of the mesh. */
+/** Pure translations of headers at the two edges of the mesh. */
 export interface CallDialect {
   readonly readRequestMetadata: (headers: HeaderMap) => RequestMetadata;
-  /** Headers that go on: no key, and nothing that only a node may say. */
+  /** Drops the key and every header that only a node may set. */
   readonly createCallHeaders: (
     rawHeaders: readonly string[],
     origin: CallOrigin,
   ) => HeaderList;
-  readonly createBackendHeaders: (terms: BackendRequestContext) => HeaderList;
+  readonly createBackendHeaders: (context: BackendRequestContext) => HeaderList;
   readonly validateAnswer: (head: AnswerHead) => AnswerValidation;
-  /** Headers of an answer that go back to the caller. */
+  /** Selects the headers of an answer that are returned to the caller. */
   readonly createAnswerHeaders: (rawHeaders: readonly string[]) => HeaderList;
-  /** Load that the backend server says of itself. */
+  /** Reads the load that the backend server reports; undefined if it doesn't. */
   readonly readLoad: (
     headers: HeaderMap,
   ) => Pick<LoadFigures, "running" | "queued"> | undefined;
--- a/src/engine/relay/common/entry_budget.ts
+++ b/src/engine/relay/common/entry_budget.ts
@@ -1,46 +1,49 @@
 /**
- * Retries that this node may send, by sliding windows.
+ * Limits the retries that this node sends, over sliding windows.
  *
- * The run that a retry starts makes its calls again, and the nodes that send
- * these take them for first attempts. So a call carries how likely it is that a
- * repeated run made it; it counts as a repeat then, and widens no budget. Calls
- * that make calls get a small share of the ratio, route by route: repeats are
- * the same share of the calls below, whatever the shape and depth of the tree.
- * What is left is for the services at the bottom, where a retry costs least.
+ * A retry starts a run that makes its own calls again, and the nodes that send
+ * these calls would count them as first attempts. Each call therefore carries
+ * the probability that a repeated run made it. That part counts as a repeat and
+ * doesn't enlarge any budget. Routes whose runs make calls get a small share of
+ * the ratio each, so that repeats stay the same share of the calls downstream,
+ * whatever the shape and depth of the call tree. The rest of the ratio is for
+ * services that call no other service, where a retry costs least.
  */
 
-/** The budget that the nodes of a fleet share. */
+/** Limits that the budgets of all nodes share. */
 export interface RetryBudgetLimits {
   /** Repeats as a share of the first attempts. */
   readonly ratio: number;
-  /** Repeats that all nodes together have in any case. */
+  /** Repeats per window that all nodes together may send at any call rate. */
   readonly slack: number;
+  /** Length of the sliding window, in seconds. */
   readonly windowS: number;
 }
 
-/** What is counted of a call. */
+/** The properties of a call that its budget depends on. */
 export interface BudgetedCall {
   readonly service: string;
+  /** Name of the route. */
   readonly route: string;
-  /** Whether a backend server's own call. */
+  /** Whether a backend server made the call itself. */
   readonly isNested: boolean;
-  /** How likely it is that a repeated run made it, 0 to 1. */
+  /** Probability that a repeated run made the call, 0 to 1. */
   readonly repeatShare: number;
 }
 
-/** What is known where a retry is asked for. */
+/** State of the fleet and of the route when a retry is requested. */
 export interface RetryContext {
-  /** Nodes that share the slack. */
+  /** Number of nodes that share the slack. */
   readonly nodes: number;
   /** Whether runs of the route make calls. */
   readonly hasDownstreamCalls: boolean;
 }
 
-/** What a node sent in one window. */
+/** Attempts that a node sent in one window; the field names are logged. */
 export interface BudgetCounts {
   /** First attempts. */
   readonly firsts: number;
-  /** Part of the first attempts that repeated runs made. */
+  /** Expected number of the first attempts that repeated runs made. */
   readonly inherited: number;
   readonly retries: number;
 }
@@ -53,37 +56,38 @@
   retries: number;
 }
 
-/** One route's calls to one service. */
+/** Counts of one route's calls to one service. */
 interface RouteCounts {
   readonly slices: Slice[];
-  /** Rounds a share of less than one retry, up or down, for one window. */
+  /** Added to the allowance, 0 to 1: rounds a fraction of a retry at random. */
   rounding: number;
+  /** When `rounding` was drawn; it is kept for one window. */
   roundedAtMs: number;
 }
 
-/** Share of the ratio for callers' own requests that make calls. */
-const ROOT_SHARE = 0.2;
-/** The same for calls in the middle, with those that repeated runs make. */
-const NESTED_SHARE = 0.5;
-/** Part of the slack that is dealt out. */
-const SLACK_SHARE = 0.5;
-/** The slack is shared out over at least so many nodes. */
+/** Share of the ratio for requests of callers whose runs make calls. */
+const ROOT_RATIO_SHARE = 0.2;
+/** The same for nested calls, including calls that repeated runs make. */
+const NESTED_RATIO_SHARE = 0.5;
+/** Share of the slack that is distributed to the nodes. */
+const DISTRIBUTED_SLACK_SHARE = 0.5;
+/** The slack is divided by at least this number of nodes. */
 const MIN_NODES = 8;
 
-/** Counts by service and route. */
+/** Retry budget of an entry node, counted by service and route. */
 export class EntryBudget {
-  readonly #terms: RetryBudgetLimits;
+  readonly #limits: RetryBudgetLimits;
   readonly #startedAtMs: number;
   readonly #draw: () => number;
   readonly #services = new Map<string, Map<string, RouteCounts>>();
   #sweptAtMs: number;
 
-  /** `draw` gives a number from 0 to 1, 1 left out. */
+  /** `draw` returns a random number of at least 0 and less than 1. */
   constructor(
-    terms: RetryBudgetLimits,
+    limits: RetryBudgetLimits,
     options: { readonly startedAtMs: number; readonly draw: () => number },
   ) {
-    this.#terms = terms;
+    this.#limits = limits;
     this.#startedAtMs = options.startedAtMs;
     this.#draw = options.draw;
     this.#sweptAtMs = options.startedAtMs;
@@ -91,7 +95,7 @@
 
   /** Counts a first attempt. */
   recordFirstAttempt(call: BudgetedCall, nowMs: number): void {
-    this.#forgetIdle(nowMs);
+    this.#removeIdleRoutes(nowMs);
     const slice = this.#getSlice(call, nowMs);
     slice.firsts += 1;
     slice.inherited += call.repeatShare;
@@ -102,13 +106,13 @@
     this.#getSlice(call, nowMs).retries += 1;
   }
 
-  /** Whether one more retry fits. */
+  /** Whether the budget allows one more retry of the call. */
   canRetry(call: BudgetedCall, context: RetryContext, nowMs: number): boolean {
-    return this.#hasServiceRoom(call.service, context.nodes, nowMs) &&
-      (!context.hasDownstreamCalls || this.#hasRouteRoom(call, nowMs));
+    return this.#isWithinServiceBudget(call.service, context.nodes, nowMs) &&
+      (!context.hasDownstreamCalls || this.#isWithinRouteBudget(call, nowMs));
   }
 
-  /** Counts what was sent to a service in the window that ends now. */
+  /** Counts the attempts sent to a service in the window that ends now. */
   countAttempts(service: string, nowMs: number): BudgetCounts {
     const routes = [...this.#services.get(service)?.values() ?? []];
     return this.#sum(routes, this.#findOldestSecond(nowMs));
@@ -119,9 +123,12 @@
     return [...this.#services.keys()];
   }
 
-  /** Forgets routes without calls in the window: tables change all day. */
-  #forgetIdle(nowMs: number): void {
-    if (nowMs - this.#sweptAtMs < this.#terms.windowS * 1_000) {
+  /**
+   * Removes routes without calls in the window: route tables keep changing, and
+   * counts of removed routes would accumulate.
+   */
+  #removeIdleRoutes(nowMs: number): void {
+    if (nowMs - this.#sweptAtMs < this.#limits.windowS * 1_000) {
       return;
     }
     this.#sweptAtMs = nowMs;
@@ -138,52 +145,65 @@
     }
   }
 
-  #hasServiceRoom(service: string, nodes: number, nowMs: number): boolean {
-    const { ratio, slack, windowS } = this.#terms;
-    // What a former process at this place spent of the slack isn't known.
+  #isWithinServiceBudget(
+    service: string,
+    nodes: number,
+    nowMs: number,
+  ): boolean {
+    const { ratio, slack, windowS } = this.#limits;
+    // A previous process of this node may have used the slack of this window.
     const hasSlack = nowMs - this.#startedAtMs >= windowS * 1_000;
     const ownSlack = hasSlack
-      ? slack * SLACK_SHARE / Math.max(MIN_NODES, nodes)
+      ? slack * DISTRIBUTED_SLACK_SHARE / Math.max(MIN_NODES, nodes)
       : 0;
     const routes = [...this.#services.get(service)?.values() ?? []];
-    return this.#hasRoom(routes, { share: ratio, extra: ownSlack }, nowMs);
+    return this.#isWithinBudget(
+      routes,
+      { share: ratio, extra: ownSlack },
+      nowMs,
+    );
   }
 
   /**
-   * On a node with few calls the share is less than one retry: part of these
-   * nodes has one, and the fleet as many as it may.
+   * On nodes with few calls the allowance is less than one retry. It is rounded
+   * at random, so that some of these nodes may send one, and the fleet as many
+   * as the ratio allows.
    */
-  #hasRouteRoom(call: BudgetedCall, nowMs: number): boolean {
+  #isWithinRouteBudget(call: BudgetedCall, nowMs: number): boolean {
     const route = this.#getRoute(call);
-    const windowMs = this.#terms.windowS * 1_000;
+    const windowMs = this.#limits.windowS * 1_000;
     if (nowMs - route.roundedAtMs >= windowMs) {
       route.rounding = this.#draw();
       route.roundedAtMs = nowMs;
     }
-    const part = call.isNested ? NESTED_SHARE : ROOT_SHARE;
-    const share = this.#terms.ratio * part;
-    return this.#hasRoom([route], { share, extra: route.rounding }, nowMs);
+    const ratioShare = call.isNested ? NESTED_RATIO_SHARE : ROOT_RATIO_SHARE;
+    const share = this.#limits.ratio * ratioShare;
+    return this.#isWithinBudget(
+      [route],
+      { share, extra: route.rounding },
+      nowMs,
+    );
   }
 
   /**
-   * Whether one more retry fits into the whole window and into its last
-   * seconds: a share that is spent at once leaves no room for the repeats that
-   * come from above a moment later.
+   * Whether one more retry fits into the whole window and into the current and
+   * the previous second. If the whole allowance could be spent in a burst, none
+   * would be left for repeats that arrive from upstream a moment later.
    */
-  #hasRoom(
+  #isWithinBudget(
     routes: readonly RouteCounts[],
     { share, extra }: { readonly share: number; readonly extra: number },
     nowMs: number,
   ): boolean {
     const oldest = this.#findOldestSecond(nowMs);
     const spent = this.#sum(routes, oldest);
-    // Repeats may be a second older than the originals that allow them.
+    // Repeats may be a second older than the first attempts that allow them.
     const earned = this.#sum(routes, oldest + 1);
     const latest = this.#sum(routes, Math.floor(nowMs / 1_000) - 1);
-    const computeMost = (counts: BudgetCounts) =>
+    const computeAllowance = (counts: BudgetCounts) =>
       countOriginals(counts) * share + extra;
-    return countRepeats(spent) + 1 <= computeMost(earned) &&
-      countRepeats(latest) + 1 <= Math.max(1, computeMost(latest));
+    return countRepeats(spent) + 1 <= computeAllowance(earned) &&
+      countRepeats(latest) + 1 <= Math.max(1, computeAllowance(latest));
   }
 
   #sum(routes: readonly RouteCounts[], oldestSecond: number): BudgetCounts {
@@ -200,11 +220,12 @@
     return sum;
   }
 
-  /** The second in which the window begins. */
+  /** Finds the second in which the window begins. */
   #findOldestSecond(nowMs: number): number {
-    return Math.floor(nowMs / 1_000) - this.#terms.windowS;
+    return Math.floor(nowMs / 1_000) - this.#limits.windowS;
   }
 
+  /** Gets the counts of a call's route, and creates them if there are none. */
   #getRoute({ service, route }: BudgetedCall): RouteCounts {
     const routes = this.#services.get(service) ??
       new Map<string, RouteCounts>();
@@ -215,6 +236,7 @@
     return counts;
   }
 
+  /** Gets the slice of the current second, and drops those out of the window. */
   #getSlice(call: BudgetedCall, nowMs: number): Slice {
     const { slices } = this.#getRoute(call);
     const oldest = this.#findOldestSecond(nowMs);
@@ -232,10 +254,12 @@
   }
 }
 
+/** Counts all repeats: retries, and calls that repeated runs made. */
 function countRepeats({ retries, inherited }: BudgetCounts): number {
   return retries + inherited;
 }
 
+/** Counts the first attempts that no repeated run made. */
 function countOriginals({ firsts, inherited }: BudgetCounts): number {
   return firsts - inherited;
 }
--- a/src/engine/relay/common/entry_call.ts
+++ b/src/engine/relay/common/entry_call.ts
@@ -1,4 +1,4 @@
-/** A call as its entry node keeps it until the final answer. */
+/** State of a call at its entry node, from its start to the final answer. */
 import { cutFirstPart } from "../../mesh/common/body_parts.ts";
 import type { BodyCollector } from "../../mesh/common/body_parts.ts";
 import type { AnswerOpened, CallOpened } from "../../mesh/common/frames.ts";
@@ -10,27 +10,35 @@
   EntryResult,
 } from "./entry_types.ts";
 
-/** A call that was started, with where its result goes. */
+/** A call in progress, with the callback for its result. */
 export interface EntryCall {
   readonly id: number;
   readonly request: EntryRequest;
+  /** Service that the call is sent to. */
   readonly service: string;
   readonly onResult: (result: EntryResult) => void;
+  /** Addresses of the members that the call was sent to. */
   readonly tried: Set<string>;
+  /** How many times the call was handed over to a backend server. */
   handoverCount: number;
+  /** Whether a backend server may have begun to run the call. */
   mayHaveRun: boolean;
+  /** How many nodes refused the call before their backend server received it. */
   rerouteCount: number;
+  /** When a refused caller may repeat its request, from the refusal on. */
   retryAfterMs: number;
+  /** Attempt in progress; undefined if there is none. */
   attempt: Attempt | undefined;
+  /** Answer that is being received; undefined before its head. */
   answer:
     | { readonly opened: AnswerOpened; readonly body: BodyCollector }
     | undefined;
 }
 
-/** A refused caller comes back no sooner, in milliseconds. */
+/** Shortest time after which a refused caller may repeat its request. */
 export const MIN_RETRY_AFTER_MS = 50;
 
-/** Creates a call that was sent nowhere yet. */
+/** Creates a call that has not been sent to any node. */
 export function createEntryCall(
   id: number,
   request: EntryRequest,
@@ -52,7 +60,7 @@
   };
 }
 
-/** Creates the frame that hands a call to a node. */
+/** Creates the frame that sends a call to a node. */
 export function createCallOpened(call: EntryCall): CallOpened {
   const { request, service } = call;
   const { route, body } = request;
@@ -75,7 +83,7 @@
   };
 }
 
-/** Creates what the retry budget counts of a call. */
+/** Creates the view of a call that the retry budget needs. */
 export function createBudgetedCall(
   { request, service }: EntryCall,
 ): BudgetedCall {
@@ -83,7 +91,7 @@
   return { service, route: route.name, isNested, repeatShare };
 }
 
-/** Creates what the caller of a call is told that isn't tried further. */
+/** Creates the failure that a caller receives when its call is not retried. */
 export function createFailure(call: EntryCall): EntryFailure {
   return call.mayHaveRun
     ? { type: "Unknown" }
--- a/src/engine/relay/common/entry_decision.ts
+++ b/src/engine/relay/common/entry_decision.ts
@@ -1,39 +1,42 @@
-/** What the entry node does next with a call that failed at one node. */
+/** Decides at the entry node how a call continues after a failed attempt. */
 import type { FailureKind } from "../../mesh/common/frames.ts";
 
-/** What is known of the call. */
+/** A failed attempt, and the state of its call. */
 export interface FailedAttempt {
   readonly kind: FailureKind;
   readonly isIdempotent: boolean;
-  /** Backend servers that the call was handed to. */
+  /** How many times the call was handed over to a backend server. */
   readonly handoverCount: number;
-  /** Whether one of these may have begun to run it. */
+  /** Whether one of these backend servers may have begun to run it. */
   readonly mayHaveRun: boolean;
+  /** Limit on `handoverCount`. */
   readonly maxAttempts: number;
-  /** Nodes that refused it before their backend server saw it. */
+  /** How many nodes refused it before their backend server received it. */
   readonly rerouteCount: number;
   readonly timeLeftMs: number;
-  /** Whether the retry budget allows one more arrival. */
+  /** Whether the retry budget allows one more run. */
   readonly canRetry: boolean;
+  /** Whether the service has a member that was not tried. */
   readonly hasOtherMember: boolean;
 }
 
 /** The next step of a call. */
 export type NextStep =
-  /** Try another node; `isBudgeted` where it counts against the budget. */
+  /** Try another node; `isBudgeted` if that uses the retry budget. */
   | { readonly type: "TryElsewhere"; readonly isBudgeted: boolean }
-  /** It ran nowhere and never will: the caller may come back. */
+  /** The call ran nowhere and never will: the caller may repeat it. */
   | { readonly type: "Refuse" }
-  /** What became of it isn't known. */
+  /** Whether the call ran is not known. */
   | { readonly type: "FailUnknown" }
+  /** The deadline has passed. */
   | { readonly type: "FailExpired" };
 
-/** Nodes that are tried after refusals: each costs a round trip of the mesh. */
+/** Nodes tried after refusals: each costs a round trip in the mesh. */
 const MAX_REROUTES = 2;
-/** With less time left no other node is tried, in milliseconds. */
+/** With less time left no other node is tried. */
 const MIN_TIME_LEFT_MS = 20;
 
-/** Decides what becomes of a call after an attempt that failed. */
+/** Decides the next step of a call after a failed attempt. */
 export function decideNextStep(attempt: FailedAttempt): NextStep {
   const { kind, timeLeftMs, hasOtherMember } = attempt;
   const canMove = hasOtherMember && timeLeftMs >= MIN_TIME_LEFT_MS;
@@ -56,8 +59,8 @@
 }
 
 /**
- * A refusal says that the call ran nowhere: an earlier attempt may have. A
- * backend server that rejected it did not run it.
+ * A refused caller may assume that its call ran nowhere. After a refused or
+ * rejected attempt that holds unless an earlier attempt may have run.
  */
 function decideRefusal(attempt: FailedAttempt): NextStep {
   return attempt.mayHaveRun ? { type: "FailUnknown" } : { type: "Refuse" };
