--- a/src/engine/relay/common/dialect.ts
+++ b/src/engine/relay/common/dialect.ts
@@ -1,4 +1,6 @@
-/** The header dialect of callers and backend servers, as an adapter provides it. */
+/**
+ * The header dialect of callers and backend servers, as an adapter provides it.
+ */
 import type { HeaderList, LoadFigures } from "../../mesh/common/frames.ts";
 
 /** Headers by lower-case name, as Node's HTTP parser returns them. */
@@ -64,7 +66,9 @@
   readonly validateAnswer: (head: AnswerHead) => AnswerValidation;
   /** Selects the headers of an answer that are returned to the caller. */
   readonly createAnswerHeaders: (rawHeaders: readonly string[]) => HeaderList;
-  /** Reads the load that the backend server reports; undefined if it doesn't. */
+  /**
+   * Reads the load that the backend server reports; undefined if it doesn't.
+   */
   readonly readLoad: (
     headers: HeaderMap,
   ) => Pick<LoadFigures, "running" | "queued"> | undefined;
--- a/src/engine/relay/common/entry_budget.ts
+++ b/src/engine/relay/common/entry_budget.ts
@@ -236,7 +236,9 @@
     return counts;
   }
 
-  /** Gets the slice of the current second, and drops those out of the window. */
+  /**
+   * Gets the slice of the current second, and drops those out of the window.
+   */
   #getSlice(call: BudgetedCall, nowMs: number): Slice {
     const { slices } = this.#getRoute(call);
     const oldest = this.#findOldestSecond(nowMs);
--- a/src/engine/relay/common/entry_call.ts
+++ b/src/engine/relay/common/entry_call.ts
@@ -19,11 +19,13 @@
   readonly onResult: (result: EntryResult) => void;
   /** Addresses of the members that the call was sent to. */
   readonly tried: Set<string>;
-  /** How many times the call was handed over to a backend server. */
+  /** Failed attempts that a backend server has, or may have, received. */
   handoverCount: number;
   /** Whether a backend server may have begun to run the call. */
   mayHaveRun: boolean;
-  /** How many nodes refused the call before their backend server received it. */
+  /**
+   * How many nodes refused the call before their backend server received it.
+   */
   rerouteCount: number;
   /** When a refused caller may repeat its request, from the refusal on. */
   retryAfterMs: number;
--- a/src/engine/relay/common/entry_decision.ts
+++ b/src/engine/relay/common/entry_decision.ts
@@ -5,7 +5,7 @@
 export interface FailedAttempt {
   readonly kind: FailureKind;
   readonly isIdempotent: boolean;
-  /** How many times the call was handed over to a backend server. */
+  /** Failed attempts that a backend server has, or may have, received. */
   readonly handoverCount: number;
   /** Whether one of these backend servers may have begun to run it. */
   readonly mayHaveRun: boolean;
--- a/src/engine/relay/common/entry_lines.ts
+++ b/src/engine/relay/common/entry_lines.ts
@@ -1,25 +1,25 @@
-/** The log lines of a call at its entry: what was decided, and by what. */
+/** Log lines of a call at its entry: each decision with its inputs. */
 import type { FailureKind } from "../../mesh/common/frames.ts";
 import type { EntryCall } from "./entry_call.ts";
 import type { BudgetCounts } from "./entry_budget.ts";
 import type { EntryFailure, RetryCause } from "./entry_types.ts";
 import type { RelayLine } from "./relay_log.ts";
 
-/** Creates the line of a call that goes on at another member. */
+/** Creates the line of a call that is sent on to another member. */
 export function createMovedLine(
   call: EntryCall,
-  moved: {
-    /** Address of the member that it leaves. */
+  details: {
+    /** Address of the member whose attempt failed. */
     readonly from: string;
     readonly kind: FailureKind;
     readonly cause: RetryCause;
     readonly reason: string;
-    /** Of the service, before this retry. */
+    /** Attempts sent to the service in the window, without this retry. */
     readonly budget: BudgetCounts;
     readonly nowMs: number;
   },
 ): RelayLine {
-  const { from, kind, cause, reason, budget, nowMs } = moved;
+  const { from, kind, cause, reason, budget, nowMs } = details;
   const { requestId, route, isNested, repeatShare } = call.request;
   return {
     event: "CallMoved",
@@ -39,19 +39,19 @@
   };
 }
 
-/** Creates the line of a call whose caller has left. */
+/** Creates the line of a call whose caller has disconnected. */
 export function createWithdrawnLine(
   call: EntryCall,
-  withdrawn: {
+  details: {
     readonly nowMs: number;
-    /** Whether frames to the member leave at once. */
+    /** Whether frames to the member are sent without waiting for the link. */
     readonly isLinkOpen: boolean;
-    /** How far the event loop is behind. */
+    /** Current delay of the event loop. */
     readonly lagMs: number;
   },
 ): RelayLine {
   const { requestId, route, isNested, arrivedAtMs, queuedMs } = call.request;
-  const { nowMs, isLinkOpen, lagMs } = withdrawn;
+  const { nowMs, isLinkOpen, lagMs } = details;
   return {
     event: "CallWithdrawn",
     isFailure: false,
@@ -68,18 +68,18 @@
   };
 }
 
-/** Creates the line of a call that ends without an answer. */
+/** Creates the line of a call that ended without an answer. */
 export function createUnansweredLine(
   call: EntryCall,
-  ended: {
+  details: {
     readonly failure: EntryFailure;
     readonly reason: string;
     readonly nowMs: number;
-    /** What decided it beyond the call's own state. */
+    /** Further values that the decision depended on. */
     readonly inputs: Readonly<Record<string, number>>;
   },
 ): RelayLine {
-  const { failure, reason, nowMs, inputs } = ended;
+  const { failure, reason, nowMs, inputs } = details;
   const { request } = call;
   const { requestId, route, rank, isNested, arrivedAtMs, queuedMs } = request;
   return {
--- a/src/engine/relay/common/entry_types.ts
+++ b/src/engine/relay/common/entry_types.ts
@@ -1,49 +1,58 @@
-/** Calls as the entry node holds them. */
+/** Requests, attempts and results of calls at the entry node. */
 import type { HeaderList } from "../../mesh/common/frames.ts";
 import type { Route } from "../../routes/common/route_table.ts";
 import type { Member } from "./member.ts";
 
-/** What a caller asked for, read whole. */
+/** A caller's request, after its whole body was read. */
 export interface EntryRequest {
   readonly requestId: string;
   readonly route: Route;
   readonly method: string;
+  /** Path and query. */
   readonly target: string;
   readonly headers: HeaderList;
   readonly body: Uint8Array;
   readonly arrivedAtMs: number;
-  /** Longest time that it can have waited unread, in milliseconds. */
+  /**
+   * Upper bound of the time that the request's connection waited to be
+   * accepted, before `arrivedAtMs`.
+   */
   readonly queuedMs: number;
-  /** When the caller has its final answer. */
+  /** When the caller must have its final answer. */
   readonly deadlineMs: number;
   /** Whether the local backend server made the call. */
   readonly isNested: boolean;
-  /** How likely it is that a repeated run made the call, 0 to 1. */
+  /** Probability that a repeated run made the call, 0 to 1. */
   readonly repeatShare: number;
-  /** Of the route; 0 is the most urgent. */
+  /** Urgency rank of the route and the workspace; 0 is the most urgent. */
   readonly rank: number;
 }
 
 /** Why a call has no answer of a backend server. */
 export type EntryFailure =
-  /** It ran nowhere and never will. */
+  /** The call ran nowhere and never will. */
   | { readonly type: "Refused"; readonly retryAfterMs: number }
+  /** Whether the call ran is not known. */
   | { readonly type: "Unknown" }
+  /** The deadline has passed. */
   | { readonly type: "Expired" };
 
-/** Why a call is sent on to another backend server. */
+/** Why a call is sent to another backend server. */
 export type RetryCause =
-  /** The link to its node has been silent. */
+  /** Nothing was received on the link to its node for too long. */
   | "stalled"
+  /** The link to its node closed. */
   | "link_lost"
-  /** The backend server answered with a failure. */
+  /** The backend server answered with an error status. */
   | "status"
+  /** The backend server reported that it did not run the call. */
   | "rejected"
+  /** The backend server did not answer, or not completely. */
   | "answer_lost"
-  /** No backend server saw it. */
+  /** No backend server received the call. */
   | "refused";
 
-/** What the caller gets. */
+/** Final result of a call. */
 export type EntryResult =
   | {
     readonly type: "Answered";
@@ -53,11 +62,12 @@
   }
   | { readonly type: "Failed"; readonly failure: EntryFailure };
 
-/** Where a call is now. */
+/** An attempt in progress. */
 export interface Attempt {
   readonly member: Member;
+  /** Address of the member's node. */
   readonly address: string;
-  /** Number of the call on the link. */
+  /** Id of the call on the link. */
   readonly call: number;
   readonly sentAtMs: number;
 }
--- a/src/engine/relay/common/gate.ts
+++ b/src/engine/relay/common/gate.ts
@@ -1,8 +1,8 @@
 /**
- * Decides at the backend server's own node which calls run, wait or are
- * refused. The node alone reaches its backend server, so what is decided here
- * holds for all callers. State is updated in place: the step is on the path of
- * each call, and nothing else keeps the state.
+ * Admission gate: decides at a backend server's node which calls run, wait or
+ * are refused. The backend server is reachable through this node only, so the
+ * gate's limits apply to all callers. The reducer updates its state in place:
+ * it runs for each call, and nothing else keeps a reference to the state.
  */
 import type { LoadFigures } from "../../mesh/common/frames.ts";
 import {
@@ -12,40 +12,44 @@
   noteRejected,
   updatePressure,
 } from "../../admission/common/overload_pressure.ts";
-import { findVictim, putCall } from "./gate_queue.ts";
+import { findVictim, insertCall } from "./gate_queue.ts";
 import type { GateCall } from "./gate_queue.ts";
 import type { PressureState } from "../../admission/common/overload_pressure.ts";
 
-/** The backend server beside the node, as it announced itself. */
+/** The backend server of this node, as it announced itself. */
 export interface LocalBackend {
   readonly instanceId: string;
   /**
-   * Wall clock of its start, in milliseconds: it may start again under its id,
-   * and then holds nothing of before. Undefined where it doesn't say.
+   * Wall-clock time of its start, in milliseconds. It tells process instances
+   * apart: a restarted backend server may keep its `instanceId`, but none of
+   * its calls. Undefined if the backend server doesn't report it.
    */
   readonly startedAtMs: number | undefined;
   readonly service: string;
   readonly address: string;
   readonly dataCentre: string;
-  /** Requests that it runs at a time. */
+  /** Number of requests that it can run at the same time. */
   readonly slots: number;
   readonly isDraining: boolean;
-  /** Until when it is slow after its start. */
+  /** End of the slow phase after its start. */
   readonly warmUpEndMs: number;
 }
 
-/** What happens at the gate. */
+/** Input of the gate's reducer. */
 export type GateEvent =
   | { readonly type: "CallArrived"; readonly call: GateCall }
   | {
     readonly type: "CallEnded";
     readonly id: number;
     readonly route: string;
-    /** Time that the backend server took; undefined where it says nothing. */
+    /**
+     * Service time of the run; undefined if it is no sample, as after a
+     * failure.
+     */
     readonly serviceMs: number | undefined;
-    /** Whether the call came to no answer. */
+    /** Whether the call timed out, or its caller left, without an answer. */
     readonly isLost: boolean;
-    /** Whether the backend server said that it did not run it. */
+    /** Whether the backend server reported that it did not run the call. */
     readonly isRejected: boolean;
   }
   | { readonly type: "CallWithdrawn"; readonly id: number }
@@ -55,7 +59,7 @@
   }
   | { readonly type: "Ticked" };
 
-/** Why a call is refused before the backend server saw it. */
+/** Why a call is refused before the backend server receives it. */
 export type GateRefusal =
   | "no_backend"
   | "draining"
@@ -63,7 +67,7 @@
   | "deadline"
   | "displaced";
 
-/** What the gate decides. */
+/** Decision of the gate. */
 export type GateEffect =
   | { readonly type: "RunCall"; readonly id: number }
   | {
@@ -73,53 +77,60 @@
     readonly retryAfterMs: number;
   };
 
+/** Service time of one route. */
 interface ServiceTime {
+  /** Smoothed mean. */
   meanMs: number;
 }
 
-/** The gate's state; only its reducer changes it. */
+/** State of the gate; only its reducer changes it. */
 export interface GateState {
   backend: LocalBackend | undefined;
+  /** Calls that occupy a slot. */
   running: number;
+  /** Waiting calls, in the order in which they will run. */
   readonly queue: GateCall[];
-  readonly times: Map<string, ServiceTime>;
-  /** Mean time of a run, of all routes; 0 before the first. */
-  meanMs: number;
-  /** Mean time between two ends of calls while all places were taken. */
-  gapMs: number;
-  lastEndMs: number;
+  /** Service times by route. */
+  readonly serviceTimes: Map<string, ServiceTime>;
+  /** Smoothed service time over all routes; 0 before the first sample. */
+  meanServiceMs: number;
+  /** Smoothed time between two completions while calls are waiting. */
+  completionGapMs: number;
+  /** Time of the last completion. */
+  lastCompletionMs: number;
   readonly pressure: PressureState;
 }
 
 /**
- * Part of the slots that is used. Some backend servers slow down by a third
- * when the last twentieth is taken: 14 of 15 places do more than 15.
+ * Share of the slots that is used. Some backend servers slow down by a third
+ * once the last twentieth is in use: with 15 slots, 14 concurrent requests give
+ * a higher throughput than 15.
  */
-const FILL_SHARE = 0.95;
-/** Weight of a new service time in the mean over all routes. */
-const MEAN_GAIN = 0.02;
-/** Weight of a new service time in the mean. */
-const TIME_GAIN = 0.1;
-/** Service time of a route of which none is known yet. */
-const FIRST_SERVICE_MS = 20;
-const MIN_RETRY_MS = 50;
-const MAX_RETRY_MS = 2_000;
+const USABLE_SLOT_RATIO = 0.95;
+/** Weight of a new sample in the smoothed service time over all routes. */
+const MEAN_SERVICE_GAIN = 0.02;
+/** Weight of a new sample in a route's service time and the completion gap. */
+const ROUTE_SERVICE_GAIN = 0.1;
+/** Assumed service time of a route without a sample. */
+const DEFAULT_SERVICE_MS = 20;
+const MIN_RETRY_AFTER_MS = 50;
+const MAX_RETRY_AFTER_MS = 2_000;
 
-/** Creates the gate of a node that has heard no backend server yet. */
+/** Creates the gate of a node whose backend server has not announced itself. */
 export function createGate(): GateState {
   return {
     backend: undefined,
     running: 0,
     queue: [],
-    times: new Map(),
-    meanMs: 0,
-    gapMs: 0,
-    lastEndMs: 0,
+    serviceTimes: new Map(),
+    meanServiceMs: 0,
+    completionGapMs: 0,
+    lastCompletionMs: 0,
     pressure: createPressure(0),
   };
 }
 
-/** Steps the gate. */
+/** Applies an event to the gate; returns the resulting decisions in order. */
 export function reduceGate(
   state: GateState,
   event: GateEvent,
@@ -129,13 +140,13 @@
     case "CallArrived":
       return admitCall(state, event.call, nowMs);
     case "CallEnded":
-      noteEnd(state, event, nowMs);
+      recordCompletion(state, event, nowMs);
       return runQueued(state, nowMs);
     case "CallWithdrawn": {
       noteLost(state.pressure);
-      const at = state.queue.findIndex(({ id }) => id === event.id);
-      if (at >= 0) {
-        state.queue.splice(at, 1);
+      const index = state.queue.findIndex(({ id }) => id === event.id);
+      if (index >= 0) {
+        state.queue.splice(index, 1);
       }
       return [];
     }
@@ -146,7 +157,7 @@
   }
 }
 
-/** Whether two announcements are of one run of a backend server. */
+/** Whether two announcements are of the same process instance. */
 export function isSameProcessInstance(
   a: LocalBackend | undefined,
   b: LocalBackend | undefined,
@@ -154,34 +165,34 @@
   return a?.instanceId === b?.instanceId && a?.startedAtMs === b?.startedAtMs;
 }
 
-/** Whether calls may be handed to the backend server. */
+/** Whether calls may be handed over to the backend server. */
 export function isOpen(state: GateState): boolean {
   return state.backend !== undefined && !state.backend.isDraining;
 }
 
-/** Computes how many calls may run at a time. */
+/** Computes how many calls may run at the same time. */
 export function computeLimit(state: GateState): number {
   const { backend } = state;
   return backend === undefined || backend.isDraining
     ? 0
-    : Math.max(1, Math.floor(backend.slots * FILL_SHARE));
+    : Math.max(1, Math.floor(backend.slots * USABLE_SLOT_RATIO));
 }
 
-/** Creates what callers are told of the load. */
+/** Creates the load figures that are sent to callers. */
 export function createLoadFigures(state: GateState): LoadFigures {
   return {
     running: state.running,
     queued: state.queue.length,
     limit: computeLimit(state),
     pressure: state.pressure.pressure,
-    serviceMs: state.meanMs,
+    serviceMs: state.meanServiceMs,
   };
 }
 
-/** Computes when a refused caller finds a place again. */
+/** Estimates when a refused caller would find a free slot. */
 export function computeRetryAfterMs(state: GateState): number {
-  const waitMs = (state.queue.length + 1) * Math.max(1, state.gapMs);
-  return Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, waitMs));
+  const waitMs = (state.queue.length + 1) * Math.max(1, state.completionGapMs);
+  return Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, waitMs));
 }
 
 function admitCall(
@@ -197,14 +208,14 @@
   if (backend.isDraining) {
     return [refuseCall(state, call.id, "draining")];
   }
-  if (isHopeless(state, call, nowMs)) {
+  if (hasTooLittleTime(state, call, nowMs)) {
     return [refuseCall(state, call.id, "deadline")];
   }
   if (state.running < computeLimit(state) && queue.length === 0) {
     state.running += 1;
     return [{ type: "RunCall", id: call.id }];
   }
-  putCall(queue, call);
+  insertCall(queue, call);
   const victim = findVictim(queue, backend.slots);
   if (victim === undefined) {
     return [];
@@ -214,10 +225,14 @@
   return [refuseCall(state, victim.id, reason)];
 }
 
-/** Whether the time that is left doesn't cover half of a usual run. */
-function isHopeless(state: GateState, call: GateCall, nowMs: number): boolean {
-  const usualMs = state.times.get(call.route)?.meanMs ?? 0;
-  return call.deadlineMs - nowMs <= usualMs / 2;
+/** Whether less than half of a usual run fits before the call's deadline. */
+function hasTooLittleTime(
+  state: GateState,
+  call: GateCall,
+  nowMs: number,
+): boolean {
+  const serviceMs = state.serviceTimes.get(call.route)?.meanMs ?? 0;
+  return call.deadlineMs - nowMs <= serviceMs / 2;
 }
 
 function runQueued(state: GateState, nowMs: number): readonly GateEffect[] {
@@ -225,7 +240,7 @@
   const limit = computeLimit(state);
   while (state.running < limit && state.queue.length > 0) {
     const call = state.queue.shift()!;
-    if (isHopeless(state, call, nowMs)) {
+    if (hasTooLittleTime(state, call, nowMs)) {
       effects.push(refuseCall(state, call.id, "deadline"));
     } else {
       state.running += 1;
@@ -235,16 +250,17 @@
   return effects;
 }
 
-function noteEnd(
+function recordCompletion(
   state: GateState,
   event: Extract<GateEvent, { type: "CallEnded" }>,
   nowMs: number,
 ): void {
   if (state.queue.length > 0) {
-    const gapMs = Math.min(1_000, nowMs - state.lastEndMs);
-    state.gapMs += (gapMs - state.gapMs) * TIME_GAIN;
+    const gapMs = Math.min(1_000, nowMs - state.lastCompletionMs);
+    state.completionGapMs += (gapMs - state.completionGapMs) *
+      ROUTE_SERVICE_GAIN;
   }
-  state.lastEndMs = nowMs;
+  state.lastCompletionMs = nowMs;
   state.running = Math.max(0, state.running - 1);
   const { serviceMs, route, isLost, isRejected } = event;
   if (isLost) {
@@ -256,18 +272,22 @@
   if (serviceMs === undefined) {
     return;
   }
-  state.meanMs = state.meanMs === 0
+  state.meanServiceMs = state.meanServiceMs === 0
     ? serviceMs
-    : state.meanMs + (serviceMs - state.meanMs) * MEAN_GAIN;
-  const time = state.times.get(route);
+    : state.meanServiceMs +
+      (serviceMs - state.meanServiceMs) * MEAN_SERVICE_GAIN;
+  const time = state.serviceTimes.get(route);
   if (time === undefined) {
-    state.times.set(route, { meanMs: serviceMs });
+    state.serviceTimes.set(route, { meanMs: serviceMs });
   } else {
-    time.meanMs += (serviceMs - time.meanMs) * TIME_GAIN;
+    time.meanMs += (serviceMs - time.meanMs) * ROUTE_SERVICE_GAIN;
   }
 }
 
-/** Another incarnation runs nothing of what the former one ran. */
+/**
+ * Replaces the backend server. Running calls stay counted: if the process
+ * instance has changed, the node reports the end of each of them.
+ */
 function changeBackend(
   state: GateState,
   backend: LocalBackend | undefined,
@@ -283,9 +303,11 @@
 }
 
 function tick(state: GateState, nowMs: number): readonly GateEffect[] {
-  const late = state.queue.filter((call) => isHopeless(state, call, nowMs));
-  if (late.length > 0) {
-    const kept = state.queue.filter((call) => !late.includes(call));
+  const expired = state.queue.filter((call) =>
+    hasTooLittleTime(state, call, nowMs)
+  );
+  if (expired.length > 0) {
+    const kept = state.queue.filter((call) => !expired.includes(call));
     state.queue.splice(0, state.queue.length, ...kept);
   }
   updatePressure(state.pressure, {
@@ -294,10 +316,10 @@
     backlogMs: computeBacklogMs(state),
     nowMs,
   });
-  return late.map(({ id }) => refuseCall(state, id, "deadline"));
+  return expired.map(({ id }) => refuseCall(state, id, "deadline"));
 }
 
-/** Computes how long all places together need for what waits. */
+/** Computes how long all slots together need for the queue. */
 function computeBacklogMs(state: GateState): number {
   const workMs = state.queue.reduce(
     (sum, { route }) => sum + getServiceMs(state, route),
@@ -307,7 +329,7 @@
 }
 
 function getServiceMs(state: GateState, route: string): number {
-  return state.times.get(route)?.meanMs ?? FIRST_SERVICE_MS;
+  return state.serviceTimes.get(route)?.meanMs ?? DEFAULT_SERVICE_MS;
 }
 
 function refuseCall(
--- a/src/engine/relay/common/gate_call_index.ts
+++ b/src/engine/relay/common/gate_call_index.ts
@@ -1,50 +1,56 @@
-/** The calls before one backend server, by their links. */
+/** Index of the calls in progress at one backend server's node. */
 import type { BodyCollector } from "../../mesh/common/body_parts.ts";
 import type { CallOpened, MeshFrame } from "../../mesh/common/frames.ts";
 
-/** Where the answer of a call goes. */
+/** Sends a frame to the node that a call came from. */
 export type SendFrame = (frame: MeshFrame) => void;
 
-/** A request at the backend server, or on its way there. */
+/**
+ * Handle of a request that was handed over for sending to the backend server.
+ */
 export interface BackendExchange {
-  /** Whether bytes of the request may have left. */
+  /** Whether bytes of the request may have been sent. */
   readonly hasStartedSending: boolean;
+  /** Closes the exchange without waiting for the answer. */
   readonly abort: () => void;
 }
 
-/** A call from its arrival to its end. */
+/** State of a call at the gate's node, from its arrival to its end. */
 export interface GateCallState {
+  /** Unique within this process. */
   readonly id: number;
   readonly opened: CallOpened;
   readonly body: BodyCollector;
   readonly deadlineMs: number;
-  /** When it would have arrived, had its message been as fast as usual. */
+  /** When it would have arrived with the usual delay of the link. */
   readonly arrivedAtMs: number;
-  /** How much longer than usual its message was on its way. */
+  /** Delay of its message beyond the usual delay of the link. */
   readonly transitDelayMs: number;
   readonly send: SendFrame;
+  /** Id of the link that it came on. */
   readonly linkId: string;
-  /** One that is admitted has its place, but was not handed over yet. */
+  /** An `admitted` call occupies a slot, but was not handed over yet. */
   phase: "receiving" | "waiting" | "admitted" | "running";
+  /** When it was handed over; 0 before. */
   startedAtMs: number;
-  /** At the backend server; undefined before it is handed over. */
+  /** Exchange with the backend server; undefined before it is handed over. */
   exchange: BackendExchange | undefined;
 }
 
 /**
- * Bytes of bodies held for the backend server at a time; calls with more are
- * refused: many large uploads at once must not exhaust the memory.
+ * Bytes of request bodies that are buffered at the same time. Further calls are
+ * refused, so that many large uploads at once don't exhaust the memory.
  */
-const MAX_HELD_BYTES = 50_331_648;
+const MAX_BODY_BYTES = 50_331_648;
 
-/** Finds calls by their own number, and by the link's. */
+/** Finds calls by their id, and by their link and their number there. */
 export class GateCallIndex {
   readonly #calls = new Map<number, GateCallState>();
-  /** Calls by link and their number there. */
+  /** Ids of calls, by link and by number on the link. */
   readonly #byLink = new Map<string, Map<number, number>>();
-  #heldBytes = 0;
+  #bodyBytes = 0;
 
-  /** Calls that are not ended. */
+  /** Number of calls in progress. */
   get size(): number {
     return this.#calls.size;
   }
@@ -52,59 +58,62 @@
   /** Adds a call. */
   add(call: GateCallState): void {
     this.#calls.set(call.id, call);
-    this.#heldBytes += call.opened.bodyBytes;
-    const numbers = this.#byLink.get(call.linkId) ?? new Map();
-    this.#byLink.set(call.linkId, numbers);
-    numbers.set(call.opened.call, call.id);
+    this.#bodyBytes += call.opened.bodyBytes;
+    const idsByNumber = this.#byLink.get(call.linkId) ?? new Map();
+    this.#byLink.set(call.linkId, idsByNumber);
+    idsByNumber.set(call.opened.call, call.id);
   }
 
   /** Removes a call that has ended. */
   remove(call: GateCallState): void {
     if (this.#calls.delete(call.id)) {
-      this.#heldBytes -= call.opened.bodyBytes;
+      this.#bodyBytes -= call.opened.bodyBytes;
     }
     this.#byLink.get(call.linkId)?.delete(call.opened.call);
   }
 
-  /** Whether a call that was not ended has this number. */
+  /** Whether a call in progress has this id. */
   has(id: number): boolean {
     return this.#calls.has(id);
   }
 
-  /** Gets a call by its own number. */
+  /** Gets a call by its id. */
   get(id: number): GateCallState | undefined {
     return this.#calls.get(id);
   }
 
-  /** Finds a call by its link and its number there. */
-  findByLink(link: string, number: number): GateCallState | undefined {
-    const id = this.#byLink.get(link)?.get(number);
+  /** Finds a call by its link and its number on it. */
+  findByLink(linkId: string, number: number): GateCallState | undefined {
+    const id = this.#byLink.get(linkId)?.get(number);
     return id === undefined ? undefined : this.#calls.get(id);
   }
 
-  /** Lists all calls. */
+  /** Lists all calls in progress. */
   list(): Iterable<GateCallState> {
     return this.#calls.values();
   }
 
-  /** Lists the calls of a link. */
-  listByLink(link: string): readonly GateCallState[] {
-    const ids = [...this.#byLink.get(link)?.values() ?? []];
+  /** Lists the calls in progress of a link. */
+  listByLink(linkId: string): readonly GateCallState[] {
+    const ids = [...this.#byLink.get(linkId)?.values() ?? []];
     return ids.flatMap((id) => this.#calls.get(id) ?? []);
   }
 
   /** Whether calls of a link are in progress. */
-  hasCallsOfLink(link: string): boolean {
-    return (this.#byLink.get(link)?.size ?? 0) > 0;
+  hasCallsOfLink(linkId: string): boolean {
+    return (this.#byLink.get(linkId)?.size ?? 0) > 0;
   }
 
-  /** Forgets a link; its calls can't be found by their numbers there. */
-  removeLink(link: string): void {
-    this.#byLink.delete(link);
+  /** Removes a link; its calls are no longer found by their numbers on it. */
+  removeLink(linkId: string): void {
+    this.#byLink.delete(linkId);
   }
 
-  /** Whether a body is too much; one alone may be as large as allowed. */
+  /**
+   * Whether the bodies exceed the limit, after a call with `ownBytes` was
+   * added. A single body may be larger.
+   */
   isOverBodyLimit(ownBytes: number): boolean {
-    return this.#heldBytes > MAX_HELD_BYTES && this.#heldBytes > ownBytes;
+    return this.#bodyBytes > MAX_BODY_BYTES && this.#bodyBytes > ownBytes;
   }
 }
--- a/src/engine/relay/common/gate_lines.ts
+++ b/src/engine/relay/common/gate_lines.ts
@@ -1,12 +1,12 @@
-/** The log lines of a call at its gate: what was decided, and by what. */
+/** Log lines of a call at the gate: each decision with its inputs. */
 import type { FailureKind, LoadFigures } from "../../mesh/common/frames.ts";
 import type { GateCallState } from "./gate_call_index.ts";
 import type { RelayLine } from "./relay_log.ts";
 
-/** Creates the line of a call that its backend server gets. */
+/** Creates the line of a call that is handed over to the backend server. */
 export function createHandedOverLine(
   call: GateCallState,
-  /** `lagMs`: how far the event loop is behind. */
+  /** `lagMs`: current delay of the event loop. */
   { nowMs, lagMs }: { readonly nowMs: number; readonly lagMs: number },
 ): RelayLine {
   const { opened, deadlineMs, arrivedAtMs, transitDelayMs: onWayMs } = call;
@@ -24,10 +24,12 @@
   };
 }
 
-/** Creates the line of a call without an answer of the backend server. */
+/**
+ * Creates the line of a call that ends without an answer of the backend server.
+ */
 export function createFailedLine(
   call: GateCallState,
-  failed: {
+  details: {
     readonly kind: FailureKind;
     readonly reason: string;
     readonly load: LoadFigures;
@@ -35,7 +37,7 @@
   },
 ): RelayLine {
   const { requestId, route, rank, isNested } = call.opened;
-  const { kind, reason, load: { running, queued, limit }, nowMs } = failed;
+  const { kind, reason, load: { running, queued, limit }, nowMs } = details;
   return {
     event: "CallFailed",
     isFailure: true,
@@ -52,7 +54,7 @@
   };
 }
 
-/** Creates the line of a call whose caller has left. */
+/** Creates the line of a call whose caller has disconnected. */
 export function createCancelledLine(
   call: GateCallState,
   { reason, wasRunning }: {
--- a/src/engine/relay/common/gate_load_log.ts
+++ b/src/engine/relay/common/gate_load_log.ts
@@ -1,43 +1,47 @@
 /**
- * Says once a second how full the gate was while roots were refused on its
- * account: refusals while places are idle are a fault of ours, refusals at the
- * limit are not, and the lines of single calls don't tell them apart.
+ * Logs once a second how many slots were in use while root requests were
+ * refused because of the gate's pressure. Refusals with idle slots are a fault
+ * of the overload control, refusals at the limit are not, and the lines of
+ * single calls don't distinguish the two.
  */
 import { computeLimit } from "./gate.ts";
 import type { GateState } from "./gate.ts";
 import type { RelayLine } from "./relay_log.ts";
 
-/** A line a second: pressure moves within about that. */
-const PERIOD_MS = 1_000;
+/** Pressure changes noticeably within about a second. */
+const LOG_INTERVAL_MS = 1_000;
 
-/** Sums up the looks at one gate since the last line. */
+/** Aggregates the samples of one gate since the last line. */
 export class GateLoadLog {
-  #sinceMs = -Infinity;
-  #looks = 0;
-  #running = 0;
-  #queued = 0;
-  #leastRunning = Infinity;
-  #mostPressure = 0;
+  #lastLineAtMs = -Infinity;
+  #sampleCount = 0;
+  #runningSum = 0;
+  #queuedSum = 0;
+  #minRunning = Infinity;
+  #maxPressure = 0;
 
-  /** Notes how the gate is; returns a line where one is due. */
+  /**
+   * Samples the gate's load. Returns a line if one is due and there was
+   * pressure.
+   */
   sample(state: GateState, nowMs: number): RelayLine | undefined {
     const { running, queue, pressure: { pressure } } = state;
-    this.#looks += 1;
-    this.#running += running;
-    this.#queued += queue.length;
-    this.#leastRunning = Math.min(this.#leastRunning, running);
-    this.#mostPressure = Math.max(this.#mostPressure, pressure);
-    if (nowMs - this.#sinceMs < PERIOD_MS) {
+    this.#sampleCount += 1;
+    this.#runningSum += running;
+    this.#queuedSum += queue.length;
+    this.#minRunning = Math.min(this.#minRunning, running);
+    this.#maxPressure = Math.max(this.#maxPressure, pressure);
+    if (nowMs - this.#lastLineAtMs < LOG_INTERVAL_MS) {
       return undefined;
     }
     const line = this.#createLine(state);
-    const hasPressure = this.#mostPressure > 0;
-    this.#sinceMs = nowMs;
-    this.#looks = 0;
-    this.#running = 0;
-    this.#queued = 0;
-    this.#leastRunning = Infinity;
-    this.#mostPressure = 0;
+    const hasPressure = this.#maxPressure > 0;
+    this.#lastLineAtMs = nowMs;
+    this.#sampleCount = 0;
+    this.#runningSum = 0;
+    this.#queuedSum = 0;
+    this.#minRunning = Infinity;
+    this.#maxPressure = 0;
     return hasPressure ? line : undefined;
   }
 
@@ -48,17 +52,17 @@
       isFailure: false,
       service: state.backend?.service,
       limit: computeLimit(state),
-      meanRunning: trimToHundredths(this.#running / this.#looks),
-      leastRunning: this.#leastRunning,
-      meanQueued: trimToHundredths(this.#queued / this.#looks),
-      pressure: trimToHundredths(pressure),
-      mostPressure: trimToHundredths(this.#mostPressure),
-      demand: trimToHundredths(demand),
-      lostShare: trimToHundredths(lostShare),
+      meanRunning: roundToHundredths(this.#runningSum / this.#sampleCount),
+      leastRunning: this.#minRunning,
+      meanQueued: roundToHundredths(this.#queuedSum / this.#sampleCount),
+      pressure: roundToHundredths(pressure),
+      mostPressure: roundToHundredths(this.#maxPressure),
+      demand: roundToHundredths(demand),
+      lostShare: roundToHundredths(lostShare),
     };
   }
 }
 
-function trimToHundredths(value: number): number {
+function roundToHundredths(value: number): number {
   return Math.round(value * 100) / 100;
 }
--- a/src/engine/relay/common/gate_queue.ts
+++ b/src/engine/relay/common/gate_queue.ts
@@ -1,13 +1,14 @@
 /**
- * The calls that wait before one backend server: in which order they run, and
- * which gives way where too many wait.
+ * Queue of the calls that wait for one backend server: the order in which they
+ * run, and which one is refused when the queue is full.
  *
- * Load pattern: more calls than places for seconds. Waiting is bounded by what
- * a refusal costs: a caller's own request may go elsewhere or come back, while
- * a call of a request that was begun takes all the work above it along.
+ * Load pattern: more calls than slots for several seconds. The bounds depend on
+ * the cost of a refusal. A root request may be sent elsewhere or repeated
+ * later, while refusing a nested call wastes all work done upstream for its
+ * request.
  */
 
-/** A call before the backend server. */
+/** A call at the gate. */
 export interface GateCall {
   readonly id: number;
   readonly route: string;
@@ -15,49 +16,49 @@
   readonly rank: number;
   readonly isNested: boolean;
   readonly arrivedAtMs: number;
-  /** When its answer still has its full value. */
+  /** Latest time at which its answer has its full value. */
   readonly dueAtMs: number;
   readonly deadlineMs: number;
 }
 
 /**
- * Callers' requests that may wait, as a multiple of the places: they may still
- * go elsewhere or come back. Calls of requests that were begun aren't counted:
- * a refusal would waste all that was done for them.
+ * Root requests that may wait for each slot. Nested calls don't count towards
+ * this limit, since refusing them is more costly.
  */
-const QUEUE_SHARE = 2;
-const MIN_QUEUE = 8;
-/** Any calls that may wait, as a multiple of the places; bounds the memory. */
-const MAX_QUEUE_SHARE = 30;
+const ROOTS_PER_SLOT = 2;
+/** The limit on waiting root requests is at least this. */
+const MIN_ROOT_LIMIT = 8;
+/** Calls of any kind that may wait for each slot; bounds the memory. */
+const CALLS_PER_SLOT = 30;
 
-/** Finds the call that gives way where too many wait. */
+/** Finds the call to refuse; undefined if the queue is within its bounds. */
 export function findVictim(
   queue: readonly GateCall[],
   slots: number,
 ): GateCall | undefined {
-  const most = Math.max(MIN_QUEUE, slots * QUEUE_SHARE);
-  if (queue.length <= most) {
+  const rootLimit = Math.max(MIN_ROOT_LIMIT, slots * ROOTS_PER_SLOT);
+  if (queue.length <= rootLimit) {
     return undefined;
   }
   const roots = queue.filter(({ isNested }) => !isNested);
-  if (roots.length > most) {
+  if (roots.length > rootLimit) {
     return roots.reduce((worst, call) =>
       call.rank >= worst.rank ? call : worst
     );
   }
-  return queue.length > slots * MAX_QUEUE_SHARE ? queue.at(-1) : undefined;
+  return queue.length > slots * CALLS_PER_SLOT ? queue.at(-1) : undefined;
 }
 
 /**
- * Puts a call by when its answer is due, so that a short and urgent request passes calls
- * that have time to spare.
+ * Inserts a call in the order of `dueAtMs`, so that a short or urgent request
+ * overtakes calls that have time to spare.
  */
-export function putCall(queue: GateCall[], call: GateCall): void {
-  let at = queue.length;
-  while (at > 0 && compareCalls(call, queue[at - 1]!) < 0) {
-    at -= 1;
+export function insertCall(queue: GateCall[], call: GateCall): void {
+  let index = queue.length;
+  while (index > 0 && compareCalls(call, queue[index - 1]!) < 0) {
+    index -= 1;
   }
-  queue.splice(at, 0, call);
+  queue.splice(index, 0, call);
 }
 
 function compareCalls(a: GateCall, b: GateCall): number {
