--- a/src/engine/relay/common/gate.ts
+++ b/src/engine/relay/common/gate.ts
@@ -231,8 +231,8 @@
   call: GateCall,
   nowMs: number,
 ): boolean {
-  const serviceMs = state.serviceTimes.get(call.route)?.meanMs ?? 0;
-  return call.deadlineMs - nowMs <= serviceMs / 2;
+  const usualServiceMs = state.serviceTimes.get(call.route)?.meanMs ?? 0;
+  return call.deadlineMs - nowMs <= usualServiceMs / 2;
 }
 
 function runQueued(state: GateState, nowMs: number): readonly GateEffect[] {
--- a/src/engine/relay/common/held_bytes.ts
+++ b/src/engine/relay/common/held_bytes.ts
@@ -1,28 +1,32 @@
-/** How many bytes of requests a listener holds, and who holds them. */
+/** Limits the bytes of request bodies that a listener buffers. */
 
-/** What one request holds. */
+/** The buffered bytes of one request. */
 export interface ByteHold {
-  /** Holds further bytes; false where none are left. */
+  /** Adds bytes; returns false, and adds none, if they exceed the limit. */
   readonly add: (bytes: number) => boolean;
+  /** Frees all bytes of the request. */
   readonly release: () => void;
 }
 
-/** Bounds the bytes of all requests; a request alone is always held. */
+/**
+ * Bounds the buffered bytes of all requests together. A request that is the
+ * only one with buffered bytes may exceed the limit.
+ */
 export class HeldBytes {
-  readonly #mostBytes: number;
+  readonly #maxBytes: number;
   #bytes = 0;
 
-  constructor(mostBytes: number) {
-    this.#mostBytes = mostBytes;
+  constructor(maxBytes: number) {
+    this.#maxBytes = maxBytes;
   }
 
-  /** Opens the hold of one request. */
+  /** Begins to count the bytes of one request. */
   open(): ByteHold {
     let ownBytes = 0;
     return {
       add: (bytes) => {
         const isAlone = this.#bytes === ownBytes;
-        if (!isAlone && this.#bytes + bytes > this.#mostBytes) {
+        if (!isAlone && this.#bytes + bytes > this.#maxBytes) {
           return false;
         }
         this.#bytes += bytes;
--- a/src/engine/relay/common/link_silence.ts
+++ b/src/engine/relay/common/link_silence.ts
@@ -1,49 +1,56 @@
-/** When a node that says nothing is taken for cut off. */
+/** Detects nodes that stopped sending on their links. */
 import type { Attempt } from "./entry_types.ts";
 import type { Member } from "./member.ts";
 
-/** When an address was last heard; undefined without a link, as for the own. */
+/**
+ * Returns when a message of the node at an address was last received; undefined
+ * if there is no link, as to the own node.
+ */
 export type GetLastReceivedMs = (address: string) => number | undefined;
 
 /**
- * Silence on a link with calls in progress after which it is given up: several
- * reports of the other end, 100 ms apart, did not come.
+ * A link with calls in progress is closed after this silence. The other end
+ * sends a report every 100 ms, so that several reports were missed.
  */
 export const LINK_SILENCE_LIMIT_MS = 1_200;
 /**
- * Silence after which other members are chosen: three reports did not come.
- * Each call sent to a node that is cut off is lost, or late by its time limit.
+ * Other members are preferred after this silence, that is, after three missed
+ * reports. Each call sent to a disconnected node is lost, or late by its
+ * timeout.
  */
-const SUSPECT_MS = 350;
+const MEMBER_SILENCE_LIMIT_MS = 350;
 /**
- * Silence after which a call that may be repeated goes elsewhere: a usual time
- * limit, 800 ms, leaves room for a second run by then.
+ * An idempotent call is retried at another member after this silence. With a
+ * usual timeout of 800 ms that leaves enough time for a second run.
  */
 export const CALL_STALL_LIMIT_MS = 500;
 
-/** Measures how long a call's node has said nothing; 0 on this node. */
+/**
+ * Measures for how long nothing was received from the node of an attempt since
+ * the attempt was sent; 0 if there is no attempt, or it is at the own node.
+ */
 export function measureCallSilence(
   attempt: Attempt | undefined,
-  getHeardAtMs: GetLastReceivedMs,
+  getLastReceivedMs: GetLastReceivedMs,
   nowMs: number,
 ): number {
   if (attempt === undefined) {
     return 0;
   }
-  const heardAtMs = getHeardAtMs(attempt.address);
-  return heardAtMs === undefined
+  const lastReceivedMs = getLastReceivedMs(attempt.address);
+  return lastReceivedMs === undefined
     ? 0
-    : nowMs - Math.max(heardAtMs, attempt.sentAtMs);
+    : nowMs - Math.max(lastReceivedMs, attempt.sentAtMs);
 }
 
-/** Whether a member has been silent while calls are in progress there. */
+/** Whether a member with calls in progress has been silent for too long. */
 export function isMemberSilent(
   member: Member,
-  getHeardAtMs: GetLastReceivedMs,
+  getLastReceivedMs: GetLastReceivedMs,
   nowMs: number,
 ): boolean {
   const { announcement, outstanding, busySinceMs } = member;
-  const heardAtMs = getHeardAtMs(announcement.ingress);
-  return heardAtMs !== undefined && outstanding > 0 &&
-    nowMs - Math.max(heardAtMs, busySinceMs) > SUSPECT_MS;
+  const lastReceivedMs = getLastReceivedMs(announcement.ingress);
+  return lastReceivedMs !== undefined && outstanding > 0 &&
+    nowMs - Math.max(lastReceivedMs, busySinceMs) > MEMBER_SILENCE_LIMIT_MS;
 }
--- a/src/engine/relay/common/member.ts
+++ b/src/engine/relay/common/member.ts
@@ -1,58 +1,61 @@
-/** One backend server as this node sees it, and what its answers say of it. */
+/** A member of a service: a backend server and its node, as seen from here. */
 import type { LoadFigures } from "../../mesh/common/frames.ts";
 import type { Announcement } from "../../membership/common/announcement.ts";
 
-/** One backend server as this node sees it. */
+/** State of one member at this node. */
 export interface Member {
+  /** The latest announcement of the member. */
   announcement: Announcement;
-  /** Calls of this node that it has not answered. */
+  /** Calls of this node that the member has not answered. */
   outstanding: number;
-  /** Calls of this node that were sent since the load was heard. */
+  /** Calls that this node sent since it received `load`. */
   sentSinceLoad: number;
+  /** Latest reported load; undefined before the first report. */
   load: LoadFigures | undefined;
   loadReceivedAtMs: number;
   /**
-   * Pressure below the routes that make calls there, as it says; undefined
-   * before it has said anything.
+   * Pressure downstream of the member's routes that make calls, as the member
+   * reported it; undefined before the first report.
    */
   downstream: readonly DownstreamPressure[] | undefined;
-  /** Smoothed share of failures among the answers. */
+  /** Smoothed share of failures among the answers, 0 to 1. */
   failureShare: number;
-  /** Answers in a row that were failures. */
+  /** Failures since the last good answer. */
   consecutiveFailures: number;
-  /** Until when it is chosen only where no other is left. */
+  /** Until then the member is chosen only if no other is available. */
   ejectedUntilMs: number;
-  /** Times that it was left out since its last good answer. */
+  /** Ejections since the last good answer. */
   ejectionCount: number;
-  /** When it is next tried though it fails part of its calls. */
+  /** When a probe may next be sent to the member although it fails calls. */
   probeAtMs: number;
-  /** Since when calls of this node have been in progress there. */
+  /** Since when calls of this node have been in progress at the member. */
   busySinceMs: number;
 }
 
-/** Pressure below a route, as a member said it. */
+/** Pressure downstream of one route, as a member reported it. */
 export interface DownstreamPressure {
   readonly route: string;
+  /** 0 to 1. */
   readonly pressure: number;
-  /** When the gate under pressure said so, by the own clock. */
+  /** When the gate under pressure reported it, by this node's clock. */
   readonly reportedAtMs: number;
 }
 
-/** Answers after which a failing member is left out for a while. */
-const EJECT_AFTER = 3;
+/** A member is ejected after this number of consecutive failures. */
+const EJECT_AFTER_FAILURES = 3;
 /**
- * Left out for so long at first, and twice as long with each further failure
- * until a good answer: three failures in a row are the end of a dead member,
- * and soon come from one that fails two calls in five and does the rest.
+ * Length of the first ejection; each further failure doubles it until a good
+ * answer. Three consecutive failures are certain at a dead member, but also
+ * soon occur at one that fails two calls in five and serves the rest.
  */
-const FIRST_EJECT_MS = 125;
-const MAX_EJECT_MS = 1_000;
-/** Weight of a new answer in the share of failures. */
+const FIRST_EJECTION_MS = 125;
+const MAX_EJECTION_MS = 1_000;
+/** Weight of a new answer in the smoothed share of failures. */
 const FAILURE_GAIN = 0.05;
 
 /**
- * Notes what an answer, or its absence, says of a member; tells whether it is
- * left out from now on.
+ * Records a good answer or a failure of a member. Returns whether that ejects
+ * the member.
  */
 export function recordResult(
   member: Member,
@@ -67,17 +70,21 @@
     return false;
   }
   member.consecutiveFailures += 1;
-  const isOut = member.ejectedUntilMs > nowMs;
-  if (isOut || member.consecutiveFailures < EJECT_AFTER) {
+  const isEjected = member.ejectedUntilMs > nowMs;
+  if (isEjected || member.consecutiveFailures < EJECT_AFTER_FAILURES) {
     return false;
   }
-  const ejectMs = FIRST_EJECT_MS * 2 ** member.ejectionCount;
-  member.ejectedUntilMs = nowMs + Math.min(MAX_EJECT_MS, ejectMs);
+  const ejectionMs = FIRST_EJECTION_MS * 2 ** member.ejectionCount;
+  member.ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, ejectionMs);
   member.ejectionCount += 1;
   return true;
 }
 
-/** Calls in progress hold on to the member, so that it is kept. */
+/**
+ * Applies an announcement. An existing member is updated in place, because
+ * calls in progress refer to it; a new incarnation of its node resets all state
+ * but `outstanding`.
+ */
 export function updateMember(
   before: Member | undefined,
   announcement: Announcement,
--- a/src/engine/relay/common/member_choice.ts
+++ b/src/engine/relay/common/member_choice.ts
@@ -1,77 +1,87 @@
 /**
- * Which of a service's members a call is sent to.
+ * Chooses the member of a service that a call is sent to.
  *
- * Load pattern: a service near its capacity, of which some members are slow, or
- * fail part of their calls with good health.
+ * Load pattern: a service near its capacity, with some members that are slow,
+ * or that fail part of their calls although their health checks succeed.
  */
 import type { Member } from "./member.ts";
 
-/** How a choice is made. */
+/** Inputs of a choice besides the members. */
 export interface ChoiceOptions {
+  /** Data centre of this node. */
   readonly dataCentre: string;
-  /** Addresses that this call was at. */
+  /** Addresses of the members that the call was sent to before. */
   readonly tried: ReadonlySet<string>;
   readonly nowMs: number;
-  /** From 0 to 1; breaks ties. */
+  /** Random number from 0 to 1 that breaks ties. */
   readonly draw: number;
-  /** Whether it does little harm if the call fails. */
+  /** Whether a failure of the call does little harm, so that it may probe. */
   readonly canProbe: boolean;
-  /** Whether a member has been silent while calls are in progress there. */
+  /** Whether a member with calls in progress has been silent for too long. */
   readonly isSilent: (member: Member) => boolean;
 }
 
-/** A load that is older than this says nothing. */
+/** A load that was received longer ago is ignored. */
 export const LOAD_VALID_MS = 1_000;
-/** Worth of the own data centre, in parts of a backend server's places. */
-const FAR_PENALTY = 0.15;
-/** Most that chance adds: less than one place in fifty. */
-const JITTER = 0.02;
-/** Spreads one draw over members: any factor that is no whole number does. */
+/** Penalty of another data centre, as a share of a backend server's slots. */
+const REMOTE_PENALTY = 0.15;
+/** Upper bound of the random part of a score: less than one slot in fifty. */
+const MAX_JITTER = 0.02;
+/** Derives a different jitter for each member from one draw: not an integer. */
 const JITTER_STRIDE = 7.31;
-/** Share of failures from which on a member is left out. */
+/** Share of failures from which a member may count as failing. */
 const FAILING_SHARE = 0.2;
-/** Where all fail alike, the fault lies elsewhere and none is left out. */
+/**
+ * A failing member fails more than this multiple of the lowest share of
+ * failures. If all members fail alike, the cause is elsewhere, and none counts
+ * as failing.
+ */
 const FAILING_RATIO = 2;
 /**
- * Calls go to a failing member once those that don't fail are full and as much
- * waits there again, in parts of their places: a call that may fail costs less
- * than one that is never begun. Where two of three members lost 0.4 of their
- * answers, 230 calls waited at the third, which has 22 places, and 20 places
- * stood idle at each of the two.
+ * Penalty of a failing member, in multiples of a member's slots: it gets calls
+ * once the other members are full and as many calls again wait there. A call
+ * that may fail costs less than one that is never run. When two of three
+ * members lost 40 % of their answers and got no calls, 230 calls waited at the
+ * third, which has 22 slots, while 20 slots were idle at each of the two.
  */
 const FAILING_PENALTY = 2;
-/** Each node tries a failing member again after so long. */
-const PROBE_MS = 500;
-/** Bounds of the weight: a service time may be of few and odd runs. */
+/** Each node probes a failing member at this interval. */
+const PROBE_INTERVAL_MS = 500;
+/** Bounds of the slowness: a service time may stem from a few unusual runs. */
 const MIN_SLOWNESS = 0.4;
 const MAX_SLOWNESS = 3;
-/** Above any other score: nothing may run there. */
+/** Penalty of a member that may run nothing; higher than any other score. */
 const CLOSED_PENALTY = 100;
 
-/** Chooses the member with the most room for its share, nearest first. */
+/**
+ * Chooses the member with the lowest score: the most free capacity for its
+ * speed, preferably in the own data centre. Ejected and silent members are
+ * chosen only if there is no other.
+ */
 export function chooseMember(
   members: readonly Member[],
   options: ChoiceOptions,
 ): Member | undefined {
-  const sound = members.filter((member) =>
+  const eligible = members.filter((member) =>
     member.ejectedUntilMs <= options.nowMs && !options.isSilent(member)
   );
-  const due = options.canProbe
+  const probed = options.canProbe
     ? listFailing(members).find((member) =>
-      member.probeAtMs <= options.nowMs && sound.includes(member)
+      member.probeAtMs <= options.nowMs && eligible.includes(member)
     )
     : undefined;
-  if (due !== undefined) {
-    due.probeAtMs = options.nowMs + PROBE_MS;
-    return due;
+  if (probed !== undefined) {
+    probed.probeAtMs = options.nowMs + PROBE_INTERVAL_MS;
+    return probed;
   }
-  const pool = sound.length > 0 ? sound : members;
-  const failing = listFailing(pool);
-  const meanMs = computeMeanServiceMs(pool, options.nowMs);
+  const candidates = eligible.length > 0 ? eligible : members;
+  const failing = listFailing(candidates);
+  const meanMs = computeMeanServiceMs(candidates, options.nowMs);
   let best: Member | undefined;
   let bestScore = Infinity;
-  pool.forEach((member, at) => {
-    const jitter = ((at + 1) * options.draw * JITTER_STRIDE % 1) * JITTER;
+  candidates.forEach((member, index) => {
+    const jitter = ((index + 1) * options.draw * JITTER_STRIDE % 1) *
+      MAX_JITTER;
     const score = computeScore(member, meanMs, options) + jitter +
       (failing.includes(member) ? FAILING_PENALTY : 0);
     if (score < bestScore) {
@@ -83,9 +93,9 @@
 }
 
 /**
- * Lists the members that calls may count on: a root that makes eight calls to
- * one that fails part of them, each refused with a chance of a half, would
- * hardly ever end well.
+ * Lists the members without the failing ones. Their capacity can't be counted
+ * on: a root request that makes eight calls to a member that refuses half of
+ * them would almost never succeed.
  */
 export function listReliable(members: readonly Member[]): readonly Member[] {
   const failing = listFailing(members);
@@ -112,7 +122,10 @@
   );
 }
 
-/** Share of the places that would be taken, weighed by how slow it is. */
+/**
+ * Computes the share of the slots that would be in use, weighted by slowness,
+ * plus penalties. Lower is better.
+ */
 function computeScore(
   member: Member,
   meanMs: number,
@@ -122,37 +135,39 @@
     member;
   const isFresh = load !== undefined &&
     options.nowMs - loadReceivedAtMs < LOAD_VALID_MS;
-  const places = Math.max(1, isFresh ? load.limit : announcement.slots);
+  const slots = Math.max(1, isFresh ? load.limit : announcement.slots);
   const inUse = isFresh
     ? Math.max(outstanding, load.running + load.queued + sentSinceLoad)
     : outstanding;
   const distance = announcement.dataCentre === options.dataCentre
     ? 0
-    : FAR_PENALTY;
+    : REMOTE_PENALTY;
   const slowness = isFresh ? computeSlowness(load.serviceMs, meanMs) : 1;
-  return (inUse + 1) / places * slowness + distance + member.failureShare +
+  return (inUse + 1) / slots * slowness + distance + member.failureShare +
     (isFresh && load.limit === 0 ? CLOSED_PENALTY : 0);
 }
 
+/** Computes the mean service time of the members with a fresh load. */
 function computeMeanServiceMs(
   members: readonly Member[],
   nowMs: number,
 ): number {
   let sum = 0;
-  let known = 0;
+  let count = 0;
   for (const { load, loadReceivedAtMs } of members) {
     const isFresh = nowMs - loadReceivedAtMs < LOAD_VALID_MS;
     if (load !== undefined && load.serviceMs > 0 && isFresh) {
       sum += load.serviceMs;
-      known += 1;
+      count += 1;
     }
   }
-  return sum / Math.max(1, known);
+  return sum / Math.max(1, count);
 }
 
 /**
- * Backend servers of one service differ in speed by more than two; with equal
- * shares of their places taken, calls wait longest at the slowest.
+ * Computes how slow a member is compared with the mean. The backend servers of
+ * a service may differ in speed by more than a factor of two; with equal shares
+ * of their slots in use, calls would wait longest at the slowest one.
  */
 function computeSlowness(serviceMs: number, meanMs: number): number {
   return serviceMs === 0 || meanMs === 0
--- a/src/engine/relay/common/member_table.ts
+++ b/src/engine/relay/common/member_table.ts
@@ -1,4 +1,4 @@
-/** The backend servers that a node may choose from, and their loads. */
+/** The members of all services, with their loads and reported pressure. */
 import type { LoadFigures, PressureBelow } from "../../mesh/common/frames.ts";
 import type { Announcement } from "../../membership/common/announcement.ts";
 import { updateMember } from "./member.ts";
@@ -6,47 +6,52 @@
 import { chooseMember, listReliable, LOAD_VALID_MS } from "./member_choice.ts";
 import type { ChoiceOptions } from "./member_choice.ts";
 
-/** Pressure on a way, and when the gate under it said so. */
+/** Pressure on a call path: the service of a call and those downstream. */
 export interface PathPressure {
+  /** 0 to 1. */
   readonly pressure: number;
+  /** When the gate under pressure reported it, by this node's clock. */
   readonly reportedAtMs: number;
 }
 
 const NO_PRESSURE: PathPressure = { pressure: 0, reportedAtMs: 0 };
 /**
- * Pressure that a gate said so long ago is gone: it may have been passed on
- * over seven levels, 100 ms apart, and must end where nodes pass it in a
- * circle.
+ * Older downstream pressure is ignored. A report may pass through seven levels
+ * of a call tree, 100 ms each, but must expire where nodes forward it in a
+ * cycle.
  */
-const WAY_VALID_MS = 1_500;
+const PATH_PRESSURE_VALID_MS = 1_500;
 /**
- * Wait before a node whose link was lost is probed, and between probes: a
- * process that was started again listens after about a second.
+ * Delay before a node whose link was lost is probed, and between probes. A
+ * restarted process listens again after about a second.
  */
-const PROBE_AFTER_MS = 300;
+const PROBE_DELAY_MS = 300;
 
-/** Holds members by service and address. */
+/** Stores members by service and address. */
 export class MemberTable {
   readonly #services = new Map<string, Map<string, Member>>();
-  /** Services of which control has told all members since the start. */
+  /** Services whose complete member list was received since the start. */
   readonly #complete = new Set<string>();
   /**
-   * Addresses whose links were lost, with when they are due to be probed; no
-   * call goes there before they are heard again.
+   * Addresses whose links were lost, with the time of their next probe. Other
+   * members are preferred until a load is received from the address.
    */
-  readonly #unproven = new Map<string, number>();
+  readonly #suspected = new Map<string, number>();
 
-  /** Whether the members of a service were ever told. */
+  /** Whether members of the service were ever recorded. */
   isKnown(service: string): boolean {
     return this.#services.has(service);
   }
 
-  /** Whether all members of a service were told, not just those known early. */
+  /**
+   * Whether the complete member list of a service was received, and not just
+   * single members that are known early.
+   */
   isComplete(service: string): boolean {
     return this.#complete.has(service);
   }
 
-  /** Notes that all members of a service were told. */
+  /** Marks the member list of a service as complete. */
   markComplete(service: string): void {
     this.#complete.add(service);
   }
@@ -62,7 +67,7 @@
     this.#services.set(service, members);
   }
 
-  /** Adds a member, or takes its newer announcement. */
+  /** Adds a member, or applies its newer announcement. */
   put(announcement: Announcement): void {
     const { service, ingress } = announcement;
     const members = this.#services.get(service) ?? new Map<string, Member>();
@@ -80,12 +85,12 @@
     }
   }
 
-  /** Removes the member at an address: another service runs there. */
+  /** Removes the member at an address where another service runs now. */
   removeAddress(service: string, address: string): void {
     this.#services.get(service)?.delete(address);
   }
 
-  /** Gets a member; undefined where it has left. */
+  /** Gets a member; undefined if it was removed. */
   get(service: string, address: string): Member | undefined {
     return this.#services.get(service)?.get(address);
   }
@@ -100,9 +105,9 @@
     return [...this.#services.keys()];
   }
 
-  /** Takes a load that a member says of itself. */
+  /** Records the load that the member at an address reports. */
   recordLoad(address: string, load: LoadFigures, nowMs: number): void {
-    this.#unproven.delete(address);
+    this.#suspected.delete(address);
     for (const members of this.#services.values()) {
       const member = members.get(address);
       if (member !== undefined) {
@@ -113,13 +118,13 @@
     }
   }
 
-  /** Takes the pressure that a member says is below its routes. */
+  /** Records the pressure downstream of a member's routes, as it reports it. */
   recordDownstreamPressure(
     address: string,
-    below: readonly PressureBelow[],
+    reports: readonly PressureBelow[],
     nowMs: number,
   ): void {
-    const told = below.map(([route, pressure, ageMs]) => ({
+    const downstream = reports.map(([route, pressure, ageMs]) => ({
       route,
       pressure,
       reportedAtMs: nowMs - ageMs,
@@ -127,41 +132,44 @@
     for (const members of this.#services.values()) {
       const member = members.get(address);
       if (member !== undefined) {
-        member.downstream = told;
+        member.downstream = downstream;
       }
     }
   }
 
-  /** Leaves the members at an address out until they are heard again. */
+  /**
+   * Suspects the node at an address whose link was lost: its members are chosen
+   * only if there is no other, until a load is received from them.
+   */
   suspect(address: string, nowMs: number): void {
-    this.#unproven.set(address, nowMs + PROBE_AFTER_MS);
+    this.#suspected.set(address, nowMs + PROBE_DELAY_MS);
   }
 
-  /** Lists the addresses that are to be probed now. */
+  /** Lists the addresses to probe now, and schedules their next probes. */
   takeDueProbes(nowMs: number): readonly string[] {
     const due: string[] = [];
-    for (const [address, dueMs] of this.#unproven) {
+    for (const [address, dueMs] of this.#suspected) {
       if (dueMs > nowMs) {
         continue;
       }
       if (this.#has(address)) {
-        this.#unproven.set(address, nowMs + PROBE_AFTER_MS);
+        this.#suspected.set(address, nowMs + PROBE_DELAY_MS);
         due.push(address);
       } else {
-        this.#unproven.delete(address);
+        this.#suspected.delete(address);
       }
     }
     return due;
   }
 
-  /** Counts the nodes of each service. */
+  /** Counts the members of each service. */
   countByService(): ReadonlyMap<string, number> {
     return new Map(
       [...this.#services].map(([name, members]) => [name, members.size]),
     );
   }
 
-  /** Counts the nodes that share a budget with this one. */
+  /** Counts the nodes that share the retry budget's slack with this one. */
   countNodes(): number {
     let count = 0;
     for (const members of this.#services.values()) {
@@ -171,12 +179,12 @@
   }
 
   /**
-   * Computes the pressure of a service: the mean over the members that calls go
-   * to. One that is left out for its failures has room, but for nobody.
+   * Computes the pressure of a service: the mean over its reliable members,
+   * weighted by their limits. The free capacity of failing members isn't used.
    */
   computePressure(service: string, nowMs: number): PathPressure {
     let sum = 0;
-    let count = 0;
+    let capacity = 0;
     let reportedAtMs = 0;
     const open = this.list(service).filter(({ load, loadReceivedAtMs }) =>
       load !== undefined && load.limit > 0 &&
@@ -184,25 +192,31 @@
     );
     for (const { load, loadReceivedAtMs } of listReliable(open)) {
       sum += load!.pressure * load!.limit;
-      count += load!.limit;
+      capacity += load!.limit;
       reportedAtMs = Math.max(reportedAtMs, loadReceivedAtMs);
     }
-    return count === 0 ? NO_PRESSURE : { pressure: sum / count, reportedAtMs };
+    return capacity === 0
+      ? NO_PRESSURE
+      : { pressure: sum / capacity, reportedAtMs };
   }
 
-  /** Computes the pressure on the whole way of a route's requests. */
+  /** Computes the highest pressure on the call path of a route's requests. */
   computePathPressure(
     service: string,
     route: string,
     nowMs: number,
   ): PathPressure {
     const own = this.computePressure(service, nowMs);
-    const below = this.#computeBelow(service, route, nowMs);
-    return below.pressure > own.pressure ? below : own;
+    const downstream = this.#computeDownstream(service, route, nowMs);
+    return downstream.pressure > own.pressure ? downstream : own;
   }
 
-  /** What members say, each counting as much as it may run. */
-  #computeBelow(service: string, route: string, nowMs: number): PathPressure {
+  /** Computes the mean downstream pressure over members with a fresh load. */
+  #computeDownstream(
+    service: string,
+    route: string,
+    nowMs: number,
+  ): PathPressure {
     let sum = 0;
     let count = 0;
     let reportedAtMs = 0;
@@ -211,31 +225,35 @@
         continue;
       }
       count += 1;
-      const found = member.downstream?.find((one) => one.route === route);
-      if (found !== undefined && nowMs - found.reportedAtMs < WAY_VALID_MS) {
-        sum += found.pressure;
-        reportedAtMs = Math.max(reportedAtMs, found.reportedAtMs);
+      const entry = member.downstream?.find((other) => other.route === route);
+      if (
+        entry !== undefined &&
+        nowMs - entry.reportedAtMs < PATH_PRESSURE_VALID_MS
+      ) {
+        sum += entry.pressure;
+        reportedAtMs = Math.max(reportedAtMs, entry.reportedAtMs);
       }
     }
     return sum === 0 ? NO_PRESSURE : { pressure: sum / count, reportedAtMs };
   }
 
-  /** Whether the members of a service are known to call no other one. */
+  /** Whether the members of a service are known to call no other service. */
   isLeaf(service: string): boolean {
-    const told = this.#listBelow(service);
-    return told.length > 0 && told.every((below) => below.length === 0);
+    const reports = this.#listDownstream(service);
+    return reports.length > 0 &&
+      reports.every((downstream) => downstream.length === 0);
   }
 
-  /** Whether a member has said that runs of a route make calls there. */
+  /** Whether a member has reported that runs of the route make calls. */
   hasDownstreamCalls(service: string, route: string): boolean {
-    return this.#listBelow(service)
-      .some((below) => below.some((one) => one.route === route));
+    return this.#listDownstream(service)
+      .some((downstream) => downstream.some((entry) => entry.route === route));
   }
 
-  /** What members have said is below them. */
-  #listBelow(service: string): readonly (readonly DownstreamPressure[])[] {
-    return this.list(service).flatMap(({ downstream: below }) =>
-      below === undefined ? [] : [below]
+  /** Lists the downstream pressure of each member that has reported it. */
+  #listDownstream(service: string): readonly (readonly DownstreamPressure[])[] {
+    return this.list(service).flatMap(({ downstream }) =>
+      downstream === undefined ? [] : [downstream]
     );
   }
 
@@ -245,10 +263,10 @@
     const members = this.list(service).filter(({ announcement }) =>
       !announcement.isDraining && !tried.has(announcement.ingress)
     );
-    const proven = members.filter(({ announcement }) =>
-      !this.#unproven.has(announcement.ingress)
+    const reachable = members.filter(({ announcement }) =>
+      !this.#suspected.has(announcement.ingress)
     );
-    return chooseMember(proven.length > 0 ? proven : members, options);
+    return chooseMember(reachable.length > 0 ? reachable : members, options);
   }
 
   #has(address: string): boolean {
--- a/src/engine/relay/common/pipeline.ts
+++ b/src/engine/relay/common/pipeline.ts
@@ -1,11 +1,12 @@
 /**
- * The requests of one caller's connection, in the order in which they came
- * and must be answered (RFC 9112, 9.3.2). They run beside each other.
+ * Order of the requests on one caller's connection. They run concurrently, but
+ * are answered in the order in which they arrived (RFC 9112, 9.3.2).
  */
 
 /**
- * Requests of one connection that run at a time: more would let a single
- * caller take the places of others; fewer make it wait for its own requests.
+ * Requests of one connection that run at the same time. With a higher limit a
+ * single caller could occupy the slots of others; with a lower one it would
+ * wait for its own requests.
  */
 export const MAX_CONCURRENT_EXCHANGES = 16;
 
@@ -14,28 +15,31 @@
   isStarted: boolean;
 }
 
-/** Keeps the order; the caller carries out what the methods return. */
+/**
+ * Queue of the exchanges on one connection. Its methods return the exchanges
+ * that the caller has to start or to abort.
+ */
 export class Pipeline<T> {
   readonly #entries: Entry<T>[] = [];
-  /** Whether nothing is taken behind the last exchange. */
+  /** Whether further exchanges are ignored. */
   #isClosing = false;
 
-  /** Exchanges without a complete answer. */
+  /** Number of exchanges without a complete answer. */
   get size(): number {
     return this.#entries.length;
   }
 
-  /** Whether exchanges wait for others of the connection to end. */
+  /** Whether exchanges wait until others of the connection end. */
   get hasWaiting(): boolean {
     return this.#entries.some(({ isStarted }) => !isStarted);
   }
 
-  /** Whether what comes now counts as not read. */
+  /** Whether further requests of the connection are ignored. */
   get isClosing(): boolean {
     return this.#isClosing;
   }
 
-  /** Takes an exchange; returns those that are to be started. */
+  /** Adds an exchange; returns the exchanges to start. */
   add(exchange: T): readonly T[] {
     if (this.#isClosing) {
       return [];
@@ -44,27 +48,27 @@
     return this.#startWaiting();
   }
 
-  /** An exchange has its answer; returns those that are to be started. */
+  /** Removes an exchange that was answered; returns the exchanges to start. */
   end(exchange: T): readonly T[] {
-    const at = this.#entries
+    const index = this.#entries
       .findIndex((entry) => entry.exchange === exchange);
-    if (at >= 0) {
-      this.#entries.splice(at, 1);
+    if (index >= 0) {
+      this.#entries.splice(index, 1);
     }
     return this.#startWaiting();
   }
 
-  /** Whether no exchange came behind this one. */
+  /** Whether this is the exchange that was added last. */
   isLast(exchange: T): boolean {
     return this.#entries.at(-1)?.exchange === exchange;
   }
 
-  /** Takes nothing more; what was taken is still answered. */
+  /** Ignores further exchanges; those already added are still answered. */
   stopAccepting(): void {
     this.#isClosing = true;
   }
 
-  /** The connection is gone; returns the exchanges that were on it. */
+  /** Ends the pipeline of a closed connection; returns its exchanges. */
   closeAll(): readonly T[] {
     this.#isClosing = true;
     return this.#entries.splice(0).map(({ exchange }) => exchange);
--- a/src/engine/relay/common/relay_log.ts
+++ b/src/engine/relay/common/relay_log.ts
@@ -1,14 +1,17 @@
-/** One line for each decision that touches a request or a belief. */
+/**
+ * Log of the relay: one line for each decision on a request, and for each
+ * change in what the node assumes of other processes.
+ */
 
-/** A line: what happened, its inputs and its outcome. */
+/** A log line: the event, its inputs and its outcome. */
 export interface RelayLine {
   readonly event: string;
-  /** Failures are written before successes where not all can be. */
+  /** Lines of failures take precedence if not all lines can be written. */
   readonly isFailure: boolean;
   readonly [name: string]: unknown;
 }
 
-/** Where lines go. */
+/** Destination of log lines. */
 export interface RelayLog {
   readonly write: (line: RelayLine) => void;
 }
--- a/src/engine/relay/common/repeated_runs.ts
+++ b/src/engine/relay/common/repeated_runs.ts
@@ -1,75 +1,77 @@
-/** Which part of the work at a backend server repeats earlier work. */
+/** Estimates the share of the work at a backend server that is repeated. */
 
-/** What is known of a run at the backend server. */
+/** The properties of a run that the estimate depends on. */
 export interface BackendRun {
   readonly route: string;
-  /** How likely it is that the run is a repeat, 0 to 1. */
+  /** Probability that the run repeats an earlier one, 0 to 1. */
   readonly repeatShare: number;
 }
 
-/** Runs that began; older ones count less. */
+/** Exponentially decaying counts of the runs of one route. */
 interface RouteRuns {
-  begun: number;
-  /** Sum of the likelihoods that these are repeats. */
+  started: number;
+  /** Sum of the probabilities that these runs are repeats. */
   repeats: number;
-  notedAtMs: number;
+  updatedAtMs: number;
 }
 
-/** After so long a run counts half. */
+/** A run's weight in the counts halves in this time. */
 const HALF_LIFE_MS = 100;
-/** Counts below this are dropped. */
+/** Lower counts of repeats are set to 0. */
 const MIN_COUNT = 0.01;
-/** Longer than any run lasts. */
-const IDLE_MS = 60_000;
+/** Unused routes are removed after this time, longer than any run takes. */
+const ROUTE_IDLE_LIMIT_MS = 60_000;
 
 /**
- * Follows the runs that begin at one backend server. It goes by runs begun, not
- * by runs in progress: those that last long would stand for calls that others
- * made.
+ * Tracks the runs that start at one backend server. It counts starts and not
+ * runs in progress, because long runs would be held responsible for calls that
+ * others made.
  */
 export class RepeatedRuns {
   readonly #routes = new Map<string, RouteRuns>();
 
-  /** A run begins. */
+  /** Records the start of a run. */
   recordStart({ route, repeatShare }: BackendRun, nowMs: number): void {
     const runs = this.#routes.get(route) ?? this.#add(route, nowMs);
-    const kept = computeKept(runs, nowMs);
-    runs.begun = runs.begun * kept + 1;
-    const repeats = runs.repeats * kept + repeatShare;
+    const decay = computeDecay(runs, nowMs);
+    runs.started = runs.started * decay + 1;
+    const repeats = runs.repeats * decay + repeatShare;
     runs.repeats = repeats < MIN_COUNT ? 0 : repeats;
-    runs.notedAtMs = nowMs;
+    runs.updatedAtMs = nowMs;
   }
 
   /**
-   * Computes how likely it is that a repeat made a call that runs of some
-   * routes make; where none of these has run, any run may have made it.
+   * Computes the probability that a repeated run made a call that runs of the
+   * routes `parents` make. If none of these routes has run, any run may have
+   * made the call.
    */
   computeRepeatShare(parents: readonly string[], nowMs: number): number {
     const known = parents.flatMap((name) => this.#routes.get(name) ?? []);
     const routes = known.length > 0 ? known : [...this.#routes.values()];
-    let begun = 0;
+    let started = 0;
     let repeats = 0;
     for (const runs of routes) {
-      const kept = computeKept(runs, nowMs);
-      begun += runs.begun * kept;
-      repeats += runs.repeats * kept;
+      const decay = computeDecay(runs, nowMs);
+      started += runs.started * decay;
+      repeats += runs.repeats * decay;
     }
-    return begun === 0 ? 0 : repeats / begun;
+    return started === 0 ? 0 : repeats / started;
   }
 
-  /** Adds a route, and forgets those that nobody asks for any more. */
+  /** Adds a route, and removes idle ones. */
   #add(route: string, nowMs: number): RouteRuns {
-    for (const [name, { notedAtMs }] of this.#routes) {
-      if (nowMs - notedAtMs > IDLE_MS) {
+    for (const [name, { updatedAtMs }] of this.#routes) {
+      if (nowMs - updatedAtMs > ROUTE_IDLE_LIMIT_MS) {
         this.#routes.delete(name);
       }
     }
-    const added = { begun: 0, repeats: 0, notedAtMs: nowMs };
+    const added = { started: 0, repeats: 0, updatedAtMs: nowMs };
     this.#routes.set(route, added);
     return added;
   }
 }
 
-function computeKept({ notedAtMs }: RouteRuns, nowMs: number): number {
-  return 0.5 ** ((nowMs - notedAtMs) / HALF_LIFE_MS);
+/** Computes the factor by which counts have decayed since their update. */
+function computeDecay({ updatedAtMs }: RouteRuns, nowMs: number): number {
+  return 0.5 ** ((nowMs - updatedAtMs) / HALF_LIFE_MS);
 }
--- a/src/engine/relay/common/root_admission.ts
+++ b/src/engine/relay/common/root_admission.ts
@@ -1,40 +1,44 @@
 /**
- * Refuses root requests at their entry where a service on their way is short
- * of room: work that would fail midway is not begun. Least urgent first.
+ * Refuses root requests at their entry if a service on their call path is under
+ * pressure, the least urgent ones first: otherwise work would be started that
+ * fails midway.
  */
 import { hashBytes, hashText } from "../../../base/common/hash.ts";
 
-/** Most of a rank that is refused before the next more urgent one is. */
-const MAX_SHARE = 0.85;
+/** Largest share of a rank that is refused before more urgent ranks are. */
+const MAX_REFUSED_SHARE = 0.85;
 /**
- * Each rank is let in this often at least, as a part of how often all are: no
- * kind of request is starved, though part of what is begun fails midway.
+ * Lower bound of the admission ratio of a rank, relative to the ratio over all
+ * ranks. No kind of request is starved, although some of the admitted requests
+ * fail midway.
  */
-const LEAST_PART = 0.4;
-/** After so long a request counts half for how often all are let in. */
+const MIN_RELATIVE_ADMISSION = 0.4;
+/** A request's weight in the admission ratio halves in this time. */
 const HALF_LIFE_MS = 5_000;
 /**
- * For so long the same request meets the same answer while the pressure is the
- * same: a client that repeats at once can't get in by trying often.
+ * For this time a repeated request gets the same draw, and at the same pressure
+ * the same decision: a client doesn't get in by repeating a request at once.
  */
 const DRAW_PERIOD_MS = 8_000;
-/** Bytes of a body that tell it from others; hashing all would cost more. */
+/** Leading bytes of a body that are hashed; hashing all would cost more. */
 const HASHED_BYTES = 1_024;
 const HASH_RANGE = 0x1_0000_0000;
-/** Part of the pressure in which only the least urgent rank is refused. */
-const LAST_RANK_PART = 0.7;
+/**
+ * Part of the pressure range in which only the least urgent rank is refused.
+ */
+const LAST_RANK_BAND = 0.7;
 
-/** What is asked for one root request. */
+/** Inputs of the decision on one root request. */
 export interface RootRequest {
   /** 0 is the most urgent. */
   readonly rank: number;
-  /** The least urgent rank of the table. */
+  /** The least urgent rank of the routes in force. */
   readonly lastRank: number;
-  /** Of the narrowest service on its way, 0 to 1. */
+  /** Highest pressure on the call path, 0 to 1. */
   readonly pressure: number;
-  /** How often all requests were let in here lately, 0 to 1. */
+  /** Share of all recent requests that this node admitted, 0 to 1. */
   readonly admittedShare: number;
-  /** From 0 to 1; the same for repeats of a request. */
+  /** Random number from 0 to 1, the same for repeats of a request. */
   readonly draw: number;
 }
 
@@ -44,44 +48,48 @@
 }
 
 /**
- * The least urgent rank bears the larger part of the pressure, so that its
- * swings don't reach the others; these share the rest, one after the other.
+ * Computes the share of a rank's requests that is refused. The lower part of
+ * the pressure range applies to the least urgent rank only, so that
+ * oscillations of the pressure don't affect the others. These divide the rest
+ * of the range, one band for each rank.
  */
 export function computeRefusedShare(
   { rank, lastRank, pressure, admittedShare }: Omit<RootRequest, "draw">,
 ): number {
-  const others = lastRank;
-  const last = others === 0 ? 1 : LAST_RANK_PART;
-  const band = rank >= lastRank ? last : (1 - last) / others;
-  const start = rank >= lastRank ? 0 : last + band * (lastRank - rank - 1);
+  const otherRanks = lastRank;
+  const lastBand = otherRanks === 0 ? 1 : LAST_RANK_BAND;
+  const band = rank >= lastRank ? lastBand : (1 - lastBand) / otherRanks;
+  const start = rank >= lastRank ? 0 : lastBand + band * (lastRank - rank - 1);
   const part = (pressure - start) / band;
-  const share = Math.max(0, Math.min(1, part)) * MAX_SHARE;
-  return Math.min(share, 1 - LEAST_PART * admittedShare);
+  const share = Math.max(0, Math.min(1, part)) * MAX_REFUSED_SHARE;
+  return Math.min(share, 1 - MIN_RELATIVE_ADMISSION * admittedShare);
 }
 
-/** Follows how often requests of any rank are let in at one node. */
+/** Tracks the share of requests of all ranks that one node admits. */
 export class AdmittedShare {
-  #asked = 0;
+  /** Counts of requests decay exponentially. */
+  #requested = 0;
   #admitted = 0;
-  #notedAtMs = 0;
+  #updatedAtMs = 0;
 
-  /** 1 before the first request. */
+  /** Share from 0 to 1; 1 before the first request. */
   get value(): number {
-    return this.#asked === 0 ? 1 : this.#admitted / this.#asked;
+    return this.#requested === 0 ? 1 : this.#admitted / this.#requested;
   }
 
-  /** Counts a request. */
+  /** Records the decision on a request. */
   record(isAdmitted: boolean, nowMs: number): void {
-    const kept = 0.5 ** ((nowMs - this.#notedAtMs) / HALF_LIFE_MS);
-    this.#asked = this.#asked * kept + 1;
-    this.#admitted = this.#admitted * kept + (isAdmitted ? 1 : 0);
-    this.#notedAtMs = nowMs;
+    const decay = 0.5 ** ((nowMs - this.#updatedAtMs) / HALF_LIFE_MS);
+    this.#requested = this.#requested * decay + 1;
+    this.#admitted = this.#admitted * decay + (isAdmitted ? 1 : 0);
+    this.#updatedAtMs = nowMs;
   }
 }
 
 /**
- * Draws a number from 0 to 1 for a request by what it asks for, not by its id:
- * each repeat has a new one. Periods of requests end at different times.
+ * Draws a number from 0 to 1 for a request, derived from its content and the
+ * period and not from its id, since each repeat has a new id. Periods of
+ * different requests end at different times.
  */
 export function drawForRequest(
   request: {
--- a/src/engine/relay/common/route_waiters.ts
+++ b/src/engine/relay/common/route_waiters.ts
@@ -1,23 +1,25 @@
-/** Requests that came before any routes are known, in their order. */
+/** Queue of the requests that arrive before any routes are known. */
 import { computeRoutesWaitEndMs, MAX_WAITING } from "./start_wait.ts";
 import type { StartWait } from "./start_wait.ts";
 
 interface Waiter<T> {
   readonly request: T;
-  /** When it is given up, by the steady clock. */
+  /** When its wait times out, by the monotonic clock. */
   readonly endMs: number;
 }
 
-/** Holds a bounded number of requests, each until its time has come. */
+/**
+ * Holds a bounded number of requests in arrival order, each until a timeout.
+ */
 export class RouteWaiters<T> {
   #waiters: Waiter<T>[] = [];
 
-  /** Whether no request waits. */
+  /** Whether no request is waiting. */
   get isEmpty(): boolean {
     return this.#waiters.length === 0;
   }
 
-  /** Adds a request; false where there are too many. */
+  /** Adds a request; returns false, and adds none, if the queue is full. */
   add(request: T, wait: StartWait): boolean {
     if (this.#waiters.length >= MAX_WAITING) {
       return false;
@@ -27,16 +29,16 @@
     return true;
   }
 
-  /** Takes the requests whose time has come. */
+  /** Removes and returns the requests that have timed out. */
   takeExpired(nowMs: number): readonly T[] {
-    const late = this.#waiters.filter(({ endMs }) => endMs <= nowMs);
-    if (late.length > 0) {
+    const expired = this.#waiters.filter(({ endMs }) => endMs <= nowMs);
+    if (expired.length > 0) {
       this.#waiters = this.#waiters.filter(({ endMs }) => endMs > nowMs);
     }
-    return late.map(({ request }) => request);
+    return expired.map(({ request }) => request);
   }
 
-  /** Takes all requests. */
+  /** Removes and returns all requests. */
   takeAll(): readonly T[] {
     const waiters = this.#waiters;
     this.#waiters = [];
--- a/src/engine/relay/common/routes_in_force.ts
+++ b/src/engine/relay/common/routes_in_force.ts
@@ -1,4 +1,6 @@
-/** The routes in force at an entry, as a request meets them. */
+/**
+ * The routes in force at an entry node, with the lookup of a request's route.
+ */
 import {
   buildRouteIndex,
   selectRoute,
@@ -13,38 +15,42 @@
 import { countRanks, joinRanks } from "../../workspaces/common/workspace.ts";
 import type { Workspace } from "../../workspaces/common/workspace.ts";
 
-/** What a request says of where it goes. */
+/** The parts of a request that determine its route. */
 export interface RequestTarget {
-  /** Host and, maybe, port. */
+  /** Host with an optional port. */
   readonly host: string;
   /** Path and query. */
   readonly target: string;
+  /** Size of the request's headers. */
   readonly headerBytes: number;
 }
 
-/** Holds one table at a time; shares of split routes go on over its change. */
+/**
+ * Holds the current route table. The distribution of split routes over their
+ * targets continues when the table is replaced.
+ */
 export class RoutesInForce {
   readonly #chooser = new TargetChooser();
   #table: RouteTable | undefined;
   #index: RouteIndex = new Map();
   #routeRanks = 1;
 
-  /** Whether a table was ever in force. */
+  /** Whether a table has been put in force. */
   get hasTable(): boolean {
     return this.#table !== undefined;
   }
 
-  /** Undefined before the first table. */
+  /** Version of the table; undefined before the first one. */
   get version(): number | undefined {
     return this.#table?.version;
   }
 
-  /** Undefined before the first table. */
+  /** Limits on requests; undefined before the first table. */
   get limits(): RequestLimits | undefined {
     return this.#table?.limits;
   }
 
-  /** Puts another table in force. */
+  /** Puts a table in force. */
   replace(table: RouteTable): void {
     this.#table = table;
     this.#index = buildRouteIndex(table);
@@ -52,7 +58,7 @@
     this.#routeRanks = countRanks(table.routes.map(({ rank }) => rank));
   }
 
-  /** Finds the route of a request, or the status that refuses it. */
+  /** Finds the route of a request, or the HTTP status that refuses it. */
   find(request: RequestTarget): Route | { readonly status: 404 | 431 } {
     const { host, target, headerBytes } = request;
     const query = target.indexOf("?");
@@ -61,16 +67,18 @@
     if (route === undefined) {
       return { status: 404 };
     }
-    const most = this.#table?.limits.maxHeaderBytes ?? Infinity;
-    return headerBytes > most ? { status: 431 } : route;
+    const maxBytes = this.#table?.limits.maxHeaderBytes ?? Infinity;
+    return headerBytes > maxBytes ? { status: 431 } : route;
   }
 
-  /** Chooses the service of a route's next request. */
+  /** Chooses the service that receives the next request of a route. */
   chooseService(route: Route): string {
     return this.#chooser.choose(route);
   }
 
-  /** Computes the rank of a workspace's request on a route. */
+  /**
+   * Computes the rank of a request from its workspace's and its route's rank.
+   */
   computeRank(route: Route, workspace: Workspace | undefined): number {
     return joinRanks(this.#routeRanks, workspace, route.rank);
   }
--- a/src/engine/relay/common/start_wait.ts
+++ b/src/engine/relay/common/start_wait.ts
@@ -1,45 +1,48 @@
 /**
- * How long requests wait for what their entry node has yet to be told.
+ * Time limits for requests that wait until their entry node has received the
+ * routes, or the members of a service, after its start.
  *
- * Load pattern: all processes were started again and all callers come back in
- * the same second, while the nodes listen but hear of the routes and of the
- * backend servers some tenths of a second later. A request that is turned away
- * then comes back once, as one of all; one that waits is served.
+ * Load pattern: all processes restart, and all callers return in the same
+ * second. The nodes already listen, but receive the routes and the backend
+ * servers' announcements some tenths of a second later. A request that is
+ * refused in this phase is repeated at the same time as all others, while one
+ * that waits is served.
  */
 
-/** What is known of a request that can't be sent anywhere yet. */
+/** A request that can't be sent to any node yet. */
 export interface StartWait {
   readonly arrivedAtMs: number;
-  /** How long its caller waits in all. */
+  /** How long the caller waits for its answer in total. */
   readonly callerTimeoutMs: number;
 }
 
 /**
- * Longest wait for routes: an election and a proof of it take less where a
- * quorum of replicas runs, and where none does, waiting serves nobody.
+ * Longest wait for the routes. With a quorum of replicas an election and the
+ * confirmation of the routes take less time; without one, waiting is useless.
  */
 const MAX_ROUTES_WAIT_MS = 1_500;
 /** Longest wait for a first member: nodes announce themselves within it. */
 const MAX_MEMBER_WAIT_MS = 500;
-/** The rest of its time must do for the request itself. */
-const PATIENCE_PART = 3;
+/** A request waits for at most 1/3 of its timeout; the rest is for its run. */
+const TIMEOUT_DIVISOR = 3;
 /**
- * Requests that wait at one node; their heads and connections are held. Some
- * 60 requests a second come to a node, and several times as many at once.
+ * Requests that wait at one node at the same time; each keeps its connection
+ * and its head in memory. A node receives some 60 requests a second, in a burst
+ * several times as many.
  */
 export const MAX_WAITING = 512;
 
-/** Computes until when a request waits for the routes. */
+/** Computes when a request stops waiting for the routes. */
 export function computeRoutesWaitEndMs(wait: StartWait): number {
   return computeWaitEndMs(wait, MAX_ROUTES_WAIT_MS);
 }
 
-/** Computes until when a request waits for a first member of its service. */
+/** Computes when a request stops waiting for a first member of its service. */
 export function computeMemberWaitEndMs(wait: StartWait): number {
   return computeWaitEndMs(wait, MAX_MEMBER_WAIT_MS);
 }
 
-function computeWaitEndMs(wait: StartWait, mostMs: number): number {
+function computeWaitEndMs(wait: StartWait, maxWaitMs: number): number {
   return wait.arrivedAtMs +
-    Math.min(mostMs, wait.callerTimeoutMs / PATIENCE_PART);
+    Math.min(maxWaitMs, wait.callerTimeoutMs / TIMEOUT_DIVISOR);
 }
