--- a/src/engine/relay/test/announcements.ts
+++ b/src/engine/relay/test/announcements.ts
@@ -1,12 +1,12 @@
-/** Announcements of nodes of one service, for tests. */
+/** Test announcements of the nodes of one service. */
 import type { Announcement } from "../../membership/common/announcement.ts";
 
-/** Service of all announcements here. */
+/** Service of all test announcements. */
 export const SERVICE = "warehouse";
-/** Places of each backend server. */
+/** Slots of each backend server. */
 export const SLOTS = 10;
 
-/** Creates what the node at `address` announces. */
+/** Creates the announcement of the node at `address`. */
 export function createAnnouncement(
   address: string,
   dataCentre = "a",
--- a/src/engine/relay/test/call_tree_budget_test.ts
+++ b/src/engine/relay/test/call_tree_budget_test.ts
@@ -1,4 +1,4 @@
-/** The budgets of all nodes together, over whole call trees. */
+/** The retry budgets of all nodes together, over whole call trees. */
 import process from "node:process";
 import { expect } from "chai";
 import { createRandom } from "../../../base/test/seeded_random.ts";
@@ -10,19 +10,20 @@
 
 const TERMS = { ratio: 0.2, slack: 49, windowMs: 10_000 };
 const NODES_PER_SERVICE = 3;
-const CALM_MS = 11_000;
-const UNTIL_MS = 26_000;
+/** No answers are lost before. */
+const LOSS_START_MS = 11_000;
+const END_MS = 26_000;
 const ROOTS_PER_S = 60;
-/** So few that the slack is most of what is allowed. */
+/** So few that the slack is the largest part of the budget. */
 const QUIET_ROOTS_PER_S = 12;
-/** Most calls of the lowest service for one request of a caller. */
-const MAX_CALLS = 24;
+/** Bound of the calls to the last service of a chain for one root request. */
+const MAX_LEAF_CALLS = 24;
 const SEEDS = Number(process.env["BASILPIN_SEEDS"] ?? 6);
-const LONGEST_MS = 120_000;
+const TEST_TIMEOUT_MS = 120_000;
 
 type Tree = Readonly<Record<string, TreeRoute>>;
 
-/** Draws a chain of services, one of them also with requests of its own. */
+/** Draws a chain of services; one of them may also have root requests. */
 function drawTree(
   depth: number,
   draw: Random,
@@ -31,9 +32,12 @@
   let calls = 1;
   const levels = Array.from({ length: depth }, (_, level) => {
     const times = level === depth - 1 ? 0 : 1 + Math.floor(draw() * 4);
-    const kept = Math.max(1, Math.min(times, Math.floor(MAX_CALLS / calls)));
-    calls *= kept;
-    return level === depth - 1 ? 0 : kept;
+    const bounded = Math.max(
+      1,
+      Math.min(times, Math.floor(MAX_LEAF_CALLS / calls)),
+    );
+    calls *= bounded;
+    return level === depth - 1 ? 0 : bounded;
   });
   const side = Math.floor(draw() * depth);
   return Object.fromEntries(
@@ -51,7 +55,7 @@
   options: {
     readonly seed: number;
     readonly loss: number;
-    readonly earlyPart: number;
+    readonly earlyLossShare: number;
     readonly restartEveryMs?: number;
   },
 ): RetryOutcome {
@@ -63,16 +67,17 @@
     seed,
     routes,
     nodesPerService: NODES_PER_SERVICE,
-    untilMs: UNTIL_MS,
-    computeLoss: (nowMs) => nowMs < CALM_MS ? 0 : loss,
+    untilMs: END_MS,
+    computeLoss: (nowMs) => nowMs < LOSS_START_MS ? 0 : loss,
     createBudget: (startedAtMs) => {
       const budget = new EntryBudget(
         { ratio: TERMS.ratio, slack: TERMS.slack, windowS: 10 },
         { startedAtMs, draw },
       );
       return {
-        noteFirst: (call, nowMs) => budget.recordFirstAttempt(call, nowMs),
-        noteRetry: (call, nowMs) => budget.recordRetry(call, nowMs),
+        recordFirstAttempt: (call, nowMs) =>
+          budget.recordFirstAttempt(call, nowMs),
+        recordRetry: (call, nowMs) => budget.recordRetry(call, nowMs),
         canRetry: (call, nowMs) =>
           budget.canRetry(
             call,
@@ -84,27 +89,28 @@
   });
 }
 
-function listBroken({ arrivals }: RetryOutcome) {
+/** Lists the windows in which a service received too many repeats. */
+function listExceededWindows({ arrivals }: RetryOutcome) {
   return findWorstWindows(arrivals, TERMS)
     .filter(({ repeats, allowed }) => repeats > allowed);
 }
 
 describe("the retry budgets of all nodes together", () => {
-  // Guards services against repeats that multiply on their way down a tree.
+  // Repeats must not multiply from level to level of a call tree.
   it("hold for each service, whatever the tree and what is lost", () => {
     for (let seed = 1; seed <= SEEDS; seed += 1) {
       const draw = createRandom(seed);
       const depth = 2 + Math.floor(draw() * 6);
       const routes = drawTree(depth, draw);
       const loss = [0.03, 0.1, 0.25, 0.5][Math.floor(draw() * 4)]!;
-      const earlyPart = Math.round(draw());
-      const outcome = play(routes, { seed, loss, earlyPart });
+      const earlyLossShare = Math.round(draw());
+      const outcome = play(routes, { seed, loss, earlyLossShare });
       const shown = `seed ${seed}, depth ${depth}, ${loss} lost`;
-      expect(listBroken(outcome), shown).to.deep.equal([]);
+      expect(listExceededWindows(outcome), shown).to.deep.equal([]);
     }
-  }).timeout(LONGEST_MS);
+  }).timeout(TEST_TIMEOUT_MS);
 
-  // Guards services against a slack that is dealt out with each start.
+  // A restart must not make the slack available again within one window.
   it("hold where nodes are restarted all the time", () => {
     const trees = [
       drawTree(4, createRandom(1)),
@@ -112,23 +118,28 @@
     ];
     for (const routes of trees) {
       for (const restartEveryMs of [500, 4_000]) {
-        const options = { seed: 1, loss: 0.9, earlyPart: 1, restartEveryMs };
+        const options = {
+          seed: 1,
+          loss: 0.9,
+          earlyLossShare: 1,
+          restartEveryMs,
+        };
         const outcome = play(routes, options);
         const depth = Object.keys(routes).length;
         const shown = `depth ${depth}, started each ${restartEveryMs} ms`;
-        expect(listBroken(outcome), shown).to.deep.equal([]);
+        expect(listExceededWindows(outcome), shown).to.deep.equal([]);
       }
     }
-  }).timeout(LONGEST_MS);
+  }).timeout(TEST_TIMEOUT_MS);
 
-  // Guards callers against a bound that is kept by retrying nothing.
-  it("serve nearly all requests where little is lost", () => {
+  // A budget that allows no retries would also hold, but not serve callers.
+  it("serve nearly all requests if few answers are lost", () => {
     const routes = drawTree(4, createRandom(1));
     const { served, roots } = play(routes, {
       seed: 1,
       loss: 0.01,
-      earlyPart: 1,
+      earlyLossShare: 1,
     });
     expect(served / roots).to.be.above(0.95);
-  }).timeout(LONGEST_MS);
+  }).timeout(TEST_TIMEOUT_MS);
 });
--- a/src/engine/relay/test/entry_budget_test.ts
+++ b/src/engine/relay/test/entry_budget_test.ts
@@ -1,16 +1,16 @@
-/** How many retries a node allows itself. */
+/** Number of retries that the budget of one node allows. */
 import { expect } from "chai";
 import { EntryBudget } from "../common/entry_budget.ts";
 import type { BudgetedCall } from "../common/entry_budget.ts";
 
 const TERMS = { ratio: 0.2, slack: 80, windowS: 10 };
 const LEAF = { nodes: 8, hasDownstreamCalls: false };
-const INNER = { nodes: 8, hasDownstreamCalls: true };
+const WITH_DOWNSTREAM = { nodes: 8, hasDownstreamCalls: true };
 const CALL = { service: "s", route: "r", isNested: true, repeatShare: 0 };
-/** Whole windows after the start. */
+/** Several whole windows after the start of the process. */
 const NOW_MS = 101_000;
 
-/** Counts the retries that pass in one moment. */
+/** Sends retries at one time until the budget refuses one; counts them. */
 function countRetries(
   budget: EntryBudget,
   { call = CALL, context = LEAF, nowMs = NOW_MS }: {
@@ -42,30 +42,32 @@
 }
 
 describe("the retry budget of a node", () => {
-  it("is a share of the first attempts, and of the slack of all nodes", () => {
+  it("allows a share of the first attempts, and its part of the slack", () => {
     expect(countRetries(createBudget(0))).to.equal(5);
     expect(countRetries(createBudget(100))).to.equal(5 + 20);
   });
 
-  it("is smaller where a retry makes calls that count again below", () => {
+  it("is smaller if retries make calls downstream", () => {
     const budget = createBudget(100);
-    expect(countRetries(budget, { context: INNER })).to.equal(10);
+    expect(countRetries(budget, { context: WITH_DOWNSTREAM })).to.equal(10);
   });
 
-  it("is smallest where a caller's own request makes calls", () => {
+  it("is smallest for a root request that makes calls", () => {
     const call = { ...CALL, isNested: false };
     const budget = createBudget(100, { call });
-    expect(countRetries(budget, { call, context: INNER })).to.equal(4);
+    expect(countRetries(budget, { call, context: WITH_DOWNSTREAM })).to.equal(
+      4,
+    );
   });
 
-  it("comes back as its window moves on", () => {
+  it("is restored as the window moves on", () => {
     const budget = createBudget(0);
     expect(countRetries(budget)).to.equal(5);
     expect(countRetries(budget, { nowMs: NOW_MS + 9_000 })).to.equal(0);
     expect(countRetries(budget, { nowMs: NOW_MS + 12_000 })).to.equal(5);
   });
 
-  // Guards services below against repeats that widen their budgets.
+  // Repeats counted as first attempts would enlarge the budgets downstream.
   it("is spent by calls of repeated runs, which don't widen it", () => {
     const budget = createBudget(100);
     const call = { ...CALL, repeatShare: 1 };
@@ -73,10 +75,10 @@
       budget.recordFirstAttempt(call, NOW_MS);
     }
     expect(countRetries(budget)).to.equal(5 + 20 - 20);
-    expect(countRetries(budget, { context: INNER })).to.equal(0);
+    expect(countRetries(budget, { context: WITH_DOWNSTREAM })).to.equal(0);
   });
 
-  // Guards services against a slack that is dealt out with each start.
+  // A restart must not make the slack available again within one window.
   it("has no slack until a window after the start of the process", () => {
     const restarted = new EntryBudget(TERMS, {
       startedAtMs: NOW_MS,
@@ -86,22 +88,22 @@
     expect(countRetries(restarted, { nowMs: NOW_MS + 10_000 })).to.equal(5);
   });
 
-  it("forgets routes that nobody calls any more", () => {
+  it("removes routes that are no longer called", () => {
     const budget = createBudget(1);
     const other = { ...CALL, service: "other" };
     budget.recordFirstAttempt(other, NOW_MS + 20_000);
     expect(budget.listServices()).to.deep.equal(["other"]);
   });
 
-  it("is kept apart by route where retries make calls", () => {
+  it("is separate for each route if retries make calls downstream", () => {
     const budget = createBudget(100, { call: { ...CALL, route: "other" } });
-    expect(countRetries(budget, { context: INNER })).to.equal(0);
+    expect(countRetries(budget, { context: WITH_DOWNSTREAM })).to.equal(0);
   });
 
-  it("gives part of the nodes one retry where its share is less", () => {
+  it("is rounded at random to one retry or none if it is less than one", () => {
     const few = createBudget(4, { draw: 0.61 });
-    expect(countRetries(few, { context: INNER })).to.equal(1);
+    expect(countRetries(few, { context: WITH_DOWNSTREAM })).to.equal(1);
     const fewer = createBudget(4, { draw: 0.59 });
-    expect(countRetries(fewer, { context: INNER })).to.equal(0);
+    expect(countRetries(fewer, { context: WITH_DOWNSTREAM })).to.equal(0);
   });
 });
--- a/src/engine/relay/test/entry_decision_test.ts
+++ b/src/engine/relay/test/entry_decision_test.ts
@@ -1,4 +1,4 @@
-/** What becomes of a call after an attempt that failed. */
+/** The next step of a call after a failed attempt. */
 import { expect } from "chai";
 import { decideNextStep } from "../common/entry_decision.ts";
 import type { FailedAttempt } from "../common/entry_decision.ts";
@@ -15,6 +15,7 @@
   hasOtherMember: true,
 };
 
+/** Describes the next step; `change` overrides parts of `ATTEMPT`. */
 function decide(change: Partial<FailedAttempt>): string {
   const step = decideNextStep({ ...ATTEMPT, ...change });
   return step.type === "TryElsewhere"
@@ -23,11 +24,11 @@
 }
 
 describe("a failed attempt", () => {
-  it("that no backend server saw costs nothing elsewhere", () => {
+  it("that no backend server received is retried outside the budget", () => {
     expect(decide({ canRetry: false })).to.equal("TryElsewhere free");
   });
 
-  it("is refused in the end, where it ran nowhere", () => {
+  it("is refused if the call ran nowhere and can't be retried", () => {
     expect(decide({ rerouteCount: 2 })).to.equal("Refuse");
     expect(decide({ hasOtherMember: false })).to.equal("Refuse");
     expect(decide({ timeLeftMs: 5 })).to.equal("Refuse");
@@ -40,7 +41,7 @@
       .to.equal("FailUnknown");
   });
 
-  it("is refused where each backend server said that it didn't run it", () => {
+  it("is refused if every backend server reported that it didn't run the call", () => {
     const rejected = { kind: "rejected", handedOver: 2 } as const;
     expect(decide(rejected)).to.equal("Refuse");
     expect(decide({ ...rejected, handoverCount: 1, isIdempotent: false }))
@@ -57,7 +58,7 @@
       .to.equal("FailUnknown");
   });
 
-  it("isn't repeated beyond the attempts or the budget", () => {
+  it("isn't retried beyond the maximum of attempts or the budget", () => {
     const kind = "unknown";
     const mayHaveRun = true;
     expect(decide({ kind, mayHaveRun, handoverCount: 2 })).to.equal(
--- a/src/engine/relay/test/gate_left_test.ts
+++ b/src/engine/relay/test/gate_left_test.ts
@@ -1,11 +1,10 @@
 /**
- * Calls that wait for a connection to the backend server once the gate has
- * admitted them. A transfer whose caller left meanwhile was sent on all the
- * same, and any call was sent after its deadline: both were looked at when the
- * gate admitted them, and not again before their bytes left; a transfer that
- * had a place counted as one that may have begun. What settled it: with one
- * connection and two places both requests came to the backend server, one of
- * them 70 ms after its deadline.
+ * Calls that were admitted by the gate and wait for a connection to the backend
+ * server. The caller and the deadline must be checked again before a call's
+ * first byte is sent, and a transfer that only occupies a slot must not count
+ * as begun. Otherwise a transfer is sent although its caller has left, and any
+ * call after its deadline: with one connection and two slots, both requests
+ * reached the backend server, one of them 70 ms after its deadline.
  */
 import { createServer } from "node:http";
 import type { Server, ServerResponse } from "node:http";
@@ -16,20 +15,22 @@
 import { GateCalls } from "../node/gate_calls.ts";
 import { createBackend, createCall, DIALECT } from "./gate_fakes.ts";
 
+/** Time in which a request that is sent in error would arrive. */
 const SETTLE_MS = 100;
-/** More than connections: a call with a place may wait for one. */
+/** More than the connections: an admitted call may wait for a connection. */
 const SLOTS = 8;
 
-/** A backend server that answers when it is told to. */
-class HeldBackend implements AsyncDisposable {
-  readonly seen: string[] = [];
-  readonly #open: ServerResponse[] = [];
+/** A backend server that answers only when `answerAll` is called. */
+class ManualBackend implements AsyncDisposable {
+  /** Targets of the requests received, in order. */
+  readonly received: string[] = [];
+  readonly #pending: ServerResponse[] = [];
   readonly #server: Server;
 
   constructor() {
     this.#server = createServer((request, response) => {
-      this.seen.push(request.url!);
-      this.#open.push(response);
+      this.received.push(request.url!);
+      this.#pending.push(response);
     });
   }
 
@@ -41,11 +42,11 @@
   }
 
   answerAll(): void {
-    this.#open.splice(0).forEach((response) => response.end("done"));
+    this.#pending.splice(0).forEach((response) => response.end("done"));
   }
 
   async waitForRequests(count: number): Promise<void> {
-    while (this.seen.length < count) {
+    while (this.received.length < count) {
       await sleep(5);
     }
   }
@@ -56,11 +57,11 @@
   }
 }
 
-/** A gate with one connection, taken by a first call. */
+/** A gate whose single connection is in use by a first call. */
 class BusyGate implements AsyncDisposable {
   nowMs = 1_000;
   readonly frames: MeshFrame[] = [];
-  readonly backend = new HeldBackend();
+  readonly backend = new ManualBackend();
   readonly gate = new GateCalls({
     dialect: DIALECT,
     readClock: () => this.nowMs,
@@ -77,12 +78,13 @@
     const busy = new BusyGate();
     const backend = createBackend(await busy.backend.open());
     busy.gate.changeBackend({ ...backend, slots: SLOTS });
-    busy.take(1, { target: "/first" });
+    busy.receive(1, { target: "/first" });
     await busy.backend.waitForRequests(1);
     return busy;
   }
 
-  take(call: number, change: Parameters<typeof createCall>[1]): void {
+  /** Receives a call on the link. */
+  receive(call: number, change: Parameters<typeof createCall>[1]): void {
     const opened = createCall(call, { deadlineMs: 9_000, ...change });
     this.gate.receive("1", opened, (frame) => this.frames.push(frame));
   }
@@ -91,8 +93,8 @@
     this.gate.receive("1", { type: "CallCancelled", call }, () => {});
   }
 
-  /** Ends the first call, so that the connection is free. */
-  async free(): Promise<void> {
+  /** Ends the first call, which frees the connection. */
+  async freeConnection(): Promise<void> {
     this.backend.answerAll();
     await sleep(SETTLE_MS);
   }
@@ -108,33 +110,37 @@
     const kind = isIdempotent ? "lookup" : "transfer";
     it(`is sent no more once its caller has left: a ${kind}`, async () => {
       await using busy = await BusyGate.open();
-      busy.take(2, { target: "/left", isIdempotent });
+      busy.receive(2, { target: "/left", isIdempotent });
       busy.cancel(2);
-      await busy.free();
-      expect(busy.backend.seen).to.deep.equal(["/first"]);
+      await busy.freeConnection();
+      expect(busy.backend.received).to.deep.equal(["/first"]);
       expect(busy.gate.openCount).to.equal(0);
     });
   }
 
   it("is refused as not run once its deadline has passed", async () => {
     await using busy = await BusyGate.open();
-    busy.take(2, { target: "/late", deadlineMs: 1_130, isIdempotent: false });
+    busy.receive(2, {
+      target: "/late",
+      deadlineMs: 1_130,
+      isIdempotent: false,
+    });
     busy.nowMs += 200;
-    await busy.free();
+    await busy.freeConnection();
     while (busy.frames.length < 2) {
       await sleep(5);
     }
-    expect(busy.backend.seen).to.deep.equal(["/first"]);
+    expect(busy.backend.received).to.deep.equal(["/first"]);
     const failed = busy.frames.filter(({ type }) => type === "CallFailed");
     expect(failed).to.have.length(1);
     expect(failed[0]).to.include({ kind: "refused", reason: "deadline" });
   });
 
-  it("is sent where its caller stays", async () => {
+  it("is sent if its caller stays", async () => {
     await using busy = await BusyGate.open();
-    busy.take(2, { target: "/stays" });
-    await busy.free();
+    busy.receive(2, { target: "/stays" });
+    await busy.freeConnection();
     await busy.backend.waitForRequests(2);
-    expect(busy.backend.seen).to.deep.equal(["/first", "/stays"]);
+    expect(busy.backend.received).to.deep.equal(["/first", "/stays"]);
   });
 });
--- a/src/engine/relay/test/gate_load_log_test.ts
+++ b/src/engine/relay/test/gate_load_log_test.ts
@@ -1,10 +1,10 @@
-/** How full a gate was while roots were refused on its account. */
+/** Log lines on the slots in use while the gate is under pressure. */
 import { expect } from "chai";
 import { createGate } from "../common/gate.ts";
 import { GateLoadLog } from "../common/gate_load_log.ts";
 
 describe("the log of a gate's load", () => {
-  it("says nothing without pressure", () => {
+  it("writes no line without pressure", () => {
     const gate = createGate();
     const log = new GateLoadLog();
     for (let nowMs = 0; nowMs <= 3_000; nowMs += 20) {
@@ -12,7 +12,7 @@
     }
   });
 
-  it("says once a second how many places were taken under pressure", () => {
+  it("writes one line a second with the slots in use under pressure", () => {
     const gate = createGate();
     const log = new GateLoadLog();
     log.sample(gate, 0);
@@ -22,14 +22,14 @@
       gate.pressure.pressure = nowMs === 700 ? 0.8 : 0.4;
       lines.push(log.sample(gate, nowMs));
     }
-    const said = lines.filter((line) => line !== undefined);
-    expect(said).to.have.length(2);
-    expect(said[0]).to.include({
+    const written = lines.filter((line) => line !== undefined);
+    expect(written).to.have.length(2);
+    expect(written[0]).to.include({
       meanRunning: 4,
       leastRunning: 2,
       pressure: 0.4,
       mostPressure: 0.8,
     });
-    expect(said[1]).to.include({ meanRunning: 6, mostPressure: 0.4 });
+    expect(written[1]).to.include({ meanRunning: 6, mostPressure: 0.4 });
   });
 });
--- a/src/engine/relay/test/gate_test.ts
+++ b/src/engine/relay/test/gate_test.ts
@@ -1,4 +1,4 @@
-/** The gate: what runs, waits and is refused beside one backend server. */
+/** The gate of one backend server: which calls run, wait or are refused. */
 import { expect } from "chai";
 import { computeLimit, createGate, reduceGate } from "../common/gate.ts";
 import type { GateEffect, GateState, LocalBackend } from "../common/gate.ts";
@@ -60,12 +60,12 @@
 }
 
 describe("the gate", () => {
-  it("refuses all before the backend server has announced itself", () => {
+  it("refuses all calls before the backend server has announced itself", () => {
     const effects = arrive(createGate(), createCall(1));
     expect(describeEffects(effects)).to.deep.equal(["refuse 1 no_backend"]);
   });
 
-  it("runs no more than its limit, which is below the slots", () => {
+  it("runs no more calls than its limit, which is below the slots", () => {
     const gate = openGate(40);
     expect(computeLimit(gate)).to.equal(38);
     const runs = Array.from(
@@ -75,7 +75,7 @@
     expect(runs.filter((run) => run.startsWith("run"))).to.have.length(38);
   });
 
-  it("runs what is due first, then by rank, then by age", () => {
+  it("runs waiting calls by due time, then by rank, then by age", () => {
     const gate = openGate(1);
     arrive(gate, createCall(1));
     arrive(gate, createCall(2, { rank: 2 }));
@@ -107,7 +107,7 @@
       .to.deep.equal(["refuse 40 queue_full"]);
   });
 
-  it("gives up the least urgent one when too many wait", () => {
+  it("refuses the least urgent root request when the queue is full", () => {
     const gate = openGate(1);
     arrive(gate, createCall(0));
     for (let id = 1; id <= 8; id += 1) {
@@ -131,7 +131,7 @@
     expect(describeEffects(end(gate, 1))).to.deep.equal([]);
   });
 
-  it("refuses at once what can't end in its time", () => {
+  it("refuses at once a call that can't finish before its deadline", () => {
     const gate = openGate(1);
     arrive(gate, createCall(1));
     end(gate, 1);
@@ -140,7 +140,7 @@
       .to.deep.equal(["refuse 2 deadline"]);
   });
 
-  it("says when to come back with each refusal", () => {
+  it("gives a time for the next try with each refusal", () => {
     const [effect] = arrive(createGate(), createCall(1));
     expect(effect).to.have.property("retryAfterMs").above(0);
   });
--- a/src/engine/relay/test/held_bytes_test.ts
+++ b/src/engine/relay/test/held_bytes_test.ts
@@ -1,9 +1,9 @@
-/** How many bytes of requests are held at a time. */
+/** Limit on the bytes of requests that are buffered at the same time. */
 import { expect } from "chai";
 import { HeldBytes } from "../common/held_bytes.ts";
 
-describe("bytes held of requests", () => {
-  it("are bounded over all of them, and free again once released", () => {
+describe("buffered bytes of requests", () => {
+  it("are bounded over all requests, and can be used again once released", () => {
     const held = new HeldBytes(100);
     const first = held.open();
     const second = held.open();
@@ -15,7 +15,7 @@
     expect(second.add(1)).to.equal(true);
   });
 
-  it("of one request alone are not bounded", () => {
+  it("are not bounded for a single request", () => {
     const held = new HeldBytes(100);
     const alone = held.open();
     expect([alone.add(90), alone.add(90)]).to.deep.equal([true, true]);
--- a/src/engine/relay/test/idle_gate_test.ts
+++ b/src/engine/relay/test/idle_gate_test.ts
@@ -1,10 +1,11 @@
 /**
- * Requests were refused for gates whose places stood idle. The places of a
- * service that makes calls had all been taken by runs that waited for the
- * narrow service below, and many of these came to nothing; their losses and
- * their long runs raised the pressure to its bound, and it fell by 0.36 a second
- * at most, however idle the gate was by then. What settled it: a second after
- * the service below had caught up, 24 such gates said
+ * Guards against requests that are refused because of a gate with idle slots.
+ *
+ * While a service downstream is overloaded, runs that wait for it occupy all
+ * slots of a service that calls it, and many of these runs fail. The failures
+ * and the long runs raise the pressure of that gate to its upper bound. Unless
+ * idle slots lower it faster, it then falls by 0.36 a second at most. A second
+ * after the service downstream had recovered, 24 such gates logged
  *     GateUnderPressure limit=58 meanRunning=25.66 pressure=0.87 lostShare=0.18
  * and refused 740 of the most urgent requests.
  */
@@ -14,28 +15,29 @@
 
 const TICK_MS = 20;
 const SLOTS = 60;
-/** Calls that come in a tick: the room is enough for runs of 300 ms. */
-const ARRIVALS = 2;
-/** Length of a run while the service below is short of room. */
-const SLOW_MS = 1_500;
-const USUAL_MS = 100;
+/** Calls that arrive in each tick: the slots suffice for runs of 300 ms. */
+const CALLS_PER_TICK = 2;
+/** Length of a run while the service downstream is overloaded. */
+const SLOW_RUN_MS = 1_500;
+const USUAL_RUN_MS = 100;
 const DEADLINE_MS = 2_000;
 const SLOW_UNTIL_MS = 4_000;
-/** The whole system is to be back 2 s after an overload; this is a part. */
+/** Recovery time of one gate: part of the 2 s that the whole system has. */
 const RELEASE_MS = 500;
 const END_MS = 9_000;
 
-interface Look {
+/** Load of the gate after one tick. */
+interface Sample {
   readonly nowMs: number;
   readonly running: number;
   readonly pressure: number;
 }
 
-/** Runs end at their own time; half of the slow ones come to nothing. */
-class Fleet {
-  readonly looks: Look[] = [];
+/** Plays calls on a gate; half of the slow runs end without an answer. */
+class GateSimulation {
+  readonly samples: Sample[] = [];
   readonly #gate: GateState = createGate();
-  readonly #ends: { readonly id: number; readonly atMs: number }[] = [];
+  readonly #pendingEnds: { readonly id: number; readonly atMs: number }[] = [];
   readonly #startedAtMs = new Map<number, number>();
   #nowMs = 0;
   #nextId = 1;
@@ -57,12 +59,12 @@
     while (this.#nowMs < END_MS) {
       this.#nowMs += TICK_MS;
       this.#endDue();
-      for (let i = 0; i < ARRIVALS; i += 1) {
+      for (let i = 0; i < CALLS_PER_TICK; i += 1) {
         this.#arrive();
       }
       this.#step({ type: "Ticked" });
       const { running, pressure } = createLoadFigures(this.#gate);
-      this.looks.push({ nowMs: this.#nowMs, running, pressure });
+      this.samples.push({ nowMs: this.#nowMs, running, pressure });
     }
   }
 
@@ -81,10 +83,10 @@
   }
 
   #endDue(): void {
-    while ((this.#ends[0]?.atMs ?? Infinity) <= this.#nowMs) {
-      const { id, atMs } = this.#ends.shift()!;
+    while ((this.#pendingEnds[0]?.atMs ?? Infinity) <= this.#nowMs) {
+      const { id, atMs } = this.#pendingEnds.shift()!;
       const serviceMs = atMs - this.#startedAtMs.get(id)!;
-      const isLost = serviceMs === SLOW_MS && id % 2 === 0;
+      const isLost = serviceMs === SLOW_RUN_MS && id % 2 === 0;
       this.#step({
         type: "CallEnded",
         id,
@@ -103,26 +105,26 @@
 
   #perform(effect: GateEffect): void {
     if (effect.type === "RunCall") {
-      const lengthMs = this.#nowMs < SLOW_UNTIL_MS ? SLOW_MS : USUAL_MS;
+      const lengthMs = this.#nowMs < SLOW_UNTIL_MS ? SLOW_RUN_MS : USUAL_RUN_MS;
       const end = { id: effect.id, atMs: this.#nowMs + lengthMs };
       this.#startedAtMs.set(effect.id, this.#nowMs);
-      this.#ends.push(end);
-      this.#ends.sort((a, b) => a.atMs - b.atMs);
+      this.#pendingEnds.push(end);
+      this.#pendingEnds.sort((a, b) => a.atMs - b.atMs);
     }
   }
 }
 
-describe("a gate whose places were all taken by runs that waited", () => {
-  it("raises pressure while they are, and ends it soon after", () => {
-    const fleet = new Fleet();
-    fleet.play();
-    const { looks } = fleet;
-    const slow = looks.filter(({ nowMs }) => nowMs < SLOW_UNTIL_MS);
+describe("a gate whose slots were all in use by runs that waited", () => {
+  it("raises its pressure meanwhile, and lowers it soon after", () => {
+    const simulation = new GateSimulation();
+    simulation.play();
+    const { samples } = simulation;
+    const slow = samples.filter(({ nowMs }) => nowMs < SLOW_UNTIL_MS);
     expect(Math.max(...slow.map(({ pressure }) => pressure))).to.be.above(0.8);
-    const idle = looks.find(({ nowMs, running }) =>
+    const idle = samples.find(({ nowMs, running }) =>
       nowMs > SLOW_UNTIL_MS && running < SLOTS / 2
     )!;
-    const after = looks
+    const after = samples
       .filter(({ nowMs }) => nowMs >= idle.nowMs + RELEASE_MS);
     expect(Math.max(...after.map(({ running }) => running)))
       .to.be.below(SLOTS / 2);
--- a/src/engine/relay/test/lost_answers_test.ts
+++ b/src/engine/relay/test/lost_answers_test.ts
@@ -1,4 +1,4 @@
-/** The gate of a backend server that loses answers, with places free. */
+/** The gate of a backend server that loses answers and has free slots. */
 import { createServer } from "node:http";
 import type { Server, ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
@@ -9,23 +9,23 @@
 import { createBackend, createCall, DIALECT } from "./gate_fakes.ts";
 
 const SLOTS = 20;
-/** Over half of the places, and far from all. */
-const RUNNING = 13;
-const WORK_MS = 20;
-/** Each so many answers one is lost. */
-const LOST_EVERY = 4;
+/** More than half of the slots, and far from all. */
+const CONCURRENT_CALLS = 13;
+const RUN_MS = 20;
+/** Of this number of answers one is lost. */
+const ANSWERS_PER_LOSS = 4;
 const ROUNDS = 75;
-const PATIENCE_MS = 5_000;
+const CALL_TIMEOUT_MS = 5_000;
 
-/** A backend server that ends its runs when it is told to. */
-class HeldBackend implements AsyncDisposable {
-  readonly #held: ServerResponse[] = [];
+/** A backend server that ends its runs only when `endAll` is called. */
+class ManualBackend implements AsyncDisposable {
+  readonly #pending: ServerResponse[] = [];
   readonly #server: Server;
-  #ended = 0;
+  #endedCount = 0;
 
   constructor() {
     this.#server = createServer((_request, response) => {
-      this.#held.push(response);
+      this.#pending.push(response);
     });
   }
 
@@ -36,15 +36,15 @@
     return (this.#server.address() as AddressInfo).port;
   }
 
-  async waitRunning(count: number): Promise<void> {
-    while (this.#held.length < count) {
+  async waitForRuns(count: number): Promise<void> {
+    while (this.#pending.length < count) {
       await sleep(1);
     }
   }
 
   endAll(): void {
-    for (const response of this.#held.splice(0)) {
-      if (++this.#ended % LOST_EVERY === 0) {
+    for (const response of this.#pending.splice(0)) {
+      if (++this.#endedCount % ANSWERS_PER_LOSS === 0) {
         response.destroy();
       } else {
         response.end("answer");
@@ -65,7 +65,7 @@
     log: { write: () => {} },
     loop: { lagMs: 0, runOnceRead: (run) => run() },
     maxConnections: () => SLOTS,
-    getObjectiveMs: () => PATIENCE_MS,
+    getObjectiveMs: () => CALL_TIMEOUT_MS,
     noteRun: () => {},
     noteArrival: () => {},
     onBackendLost: () => {},
@@ -75,30 +75,33 @@
 }
 
 describe("a backend server that loses answers and has places free", () => {
-  // Guards callers against refusals for losses that are no overload.
+  // Lost answers are no overload: callers must not be refused because of them.
   it("puts no pressure on callers", async () => {
     let nowMs = 1_000;
     let nextCall = 1;
-    await using backend = new HeldBackend();
+    await using backend = new ManualBackend();
     await using gate = openGate(await backend.open(), () => nowMs);
     const run = () =>
       new Promise<MeshFrame["type"]>((resolve) => {
-        const deadlineMs = nowMs + PATIENCE_MS;
+        const deadlineMs = nowMs + CALL_TIMEOUT_MS;
         const call = createCall(nextCall++, { isIdempotent: true, deadlineMs });
         gate.receive("1", call, ({ type }) => resolve(type));
       });
-    const ends = new Set<MeshFrame["type"]>();
+    const resultTypes = new Set<MeshFrame["type"]>();
     const pressures: number[] = [];
     for (let round = 0; round < ROUNDS; round += 1) {
-      const calls = Array.from({ length: RUNNING }, run);
-      await backend.waitRunning(RUNNING);
-      nowMs += WORK_MS;
+      const calls = Array.from({ length: CONCURRENT_CALLS }, run);
+      await backend.waitForRuns(CONCURRENT_CALLS);
+      nowMs += RUN_MS;
       gate.tick();
       pressures.push(gate.readLoad().pressure);
       backend.endAll();
-      (await Promise.all(calls)).forEach((end) => ends.add(end));
+      (await Promise.all(calls)).forEach((end) => resultTypes.add(end));
     }
-    expect([...ends].sort()).to.deep.equal(["AnswerOpened", "CallFailed"]);
+    expect([...resultTypes].sort()).to.deep.equal([
+      "AnswerOpened",
+      "CallFailed",
+    ]);
     expect(Math.max(...pressures)).to.equal(0);
   });
 });
--- a/src/engine/relay/test/member_table_test.ts
+++ b/src/engine/relay/test/member_table_test.ts
@@ -1,4 +1,4 @@
-/** Whom a call is sent to. */
+/** Which member a call is sent to, and the pressure on its path. */
 import { expect } from "chai";
 import type { Announcement } from "../../membership/common/announcement.ts";
 import { createAnnouncement, SERVICE, SLOTS } from "./announcements.ts";
@@ -22,8 +22,8 @@
   })?.announcement.ingress;
 }
 
-/** Sends calls without answers, and counts them by address. */
-function fill(table: MemberTable, calls: number): Record<string, number> {
+/** Sends calls that are never answered, and counts them by address. */
+function sendCalls(table: MemberTable, calls: number): Record<string, number> {
   const counts: Record<string, number> = {};
   for (let n = 0; n < calls; n += 1) {
     const address = choose(table)!;
@@ -38,22 +38,22 @@
   const other = createAnnouncement("other:1");
 
   it("spreads calls evenly over members that are alike", () => {
-    expect(fill(createTable(near, other), 10))
+    expect(sendCalls(createTable(near, other), 10))
       .to.deep.equal({ "near:1": 5, "other:1": 5 });
   });
 
-  it("stays in the data centre while there is room", () => {
+  it("prefers the own data centre while it has free capacity", () => {
     const far = createAnnouncement("far:1", "b");
-    expect(fill(createTable(near, far), 2)).to.deep.equal({ "near:1": 2 });
-    expect(fill(createTable(near, far), 14)["far:1"]).to.be.within(5, 7);
+    expect(sendCalls(createTable(near, far), 2)).to.deep.equal({ "near:1": 2 });
+    expect(sendCalls(createTable(near, far), 14)["far:1"]).to.be.within(5, 7);
   });
 
-  it("gives a slow one its share of the work, not of the calls", () => {
+  it("gives a slow member an equal share of the work, not of the calls", () => {
     const table = createTable(near, other);
     const load = { running: 0, queued: 0, limit: SLOTS, pressure: 0 };
     table.recordLoad("near:1", { ...load, serviceMs: 10 }, 0);
     table.recordLoad("other:1", { ...load, serviceMs: 20 }, 0);
-    expect(fill(table, 15)).to.deep.equal({ "near:1": 10, "other:1": 5 });
+    expect(sendCalls(table, 15)).to.deep.equal({ "near:1": 10, "other:1": 5 });
   });
 
   it("leaves out one that fails part of its calls, but for probes", () => {
@@ -80,34 +80,34 @@
     for (let count = 0; count < 50; count += 1) {
       recordResult(failing, count % 5 < 2, 0);
     }
-    const calm = fill(table, SLOTS);
+    const calm = sendCalls(table, SLOTS);
     expect(calm["other:1"]).to.be.at.least(SLOTS - 1);
-    const surge = fill(table, 4 * SLOTS);
+    const surge = sendCalls(table, 4 * SLOTS);
     expect(surge["near:1"]).to.be.within(SLOTS, 2 * SLOTS);
     expect(surge["other:1"]).to.be.within(2 * SLOTS, 3 * SLOTS);
   });
 
-  it("leaves one out for longer with each failure, until a good answer", () => {
+  it("ejects a member for longer with each failure, until a good answer", () => {
     const table = createTable(near, other);
     const member = table.get(SERVICE, "near:1")!;
-    const spans: number[] = [];
+    const ejectionsMs: number[] = [];
     let nowMs = 0;
     const fail = () => {
       recordResult(member, true, nowMs);
       if (member.ejectedUntilMs > nowMs) {
-        spans.push(member.ejectedUntilMs - nowMs);
+        ejectionsMs.push(member.ejectedUntilMs - nowMs);
         nowMs = member.ejectedUntilMs;
       }
     };
     Array.from({ length: 7 }).forEach(fail);
-    expect(spans).to.deep.equal([125, 250, 500, 1_000, 1_000]);
+    expect(ejectionsMs).to.deep.equal([125, 250, 500, 1_000, 1_000]);
     recordResult(member, false, nowMs);
-    spans.length = 0;
+    ejectionsMs.length = 0;
     Array.from({ length: 3 }).forEach(fail);
-    expect(spans).to.deep.equal([125]);
+    expect(ejectionsMs).to.deep.equal([125]);
   });
 
-  it("leaves out none where all fail alike", () => {
+  it("excludes no member if all fail alike", () => {
     const table = createTable(near, other);
     for (const address of ["near:1", "other:1"]) {
       const member = table.get(SERVICE, address)!;
@@ -115,13 +115,13 @@
         recordResult(member, n % 2 === 0, 0);
       }
     }
-    expect(fill(table, 10)).to.deep.equal({ "near:1": 5, "other:1": 5 });
+    expect(sendCalls(table, 10)).to.deep.equal({ "near:1": 5, "other:1": 5 });
   });
 
-  it("passes over one whose link was lost until it is heard", () => {
+  it("excludes a member whose link was lost until its load is received", () => {
     const table = createTable(near, other);
     table.suspect("near:1", 0);
-    expect(fill(table, 4)).to.deep.equal({ "other:1": 4 });
+    expect(sendCalls(table, 4)).to.deep.equal({ "other:1": 4 });
     expect(table.takeDueProbes(100)).to.deep.equal([]);
     expect(table.takeDueProbes(400)).to.deep.equal(["near:1"]);
     const load = {
@@ -132,10 +132,10 @@
       serviceMs: 0,
     };
     table.recordLoad("near:1", load, 0);
-    expect(fill(table, 4)).to.deep.equal({ "near:1": 4 });
+    expect(sendCalls(table, 4)).to.deep.equal({ "near:1": 4 });
   });
 
-  it("probes no address that has left", () => {
+  it("probes no address whose member was removed", () => {
     const table = createTable(near, other);
     table.suspect("near:1", 0);
     table.remove(SERVICE, "near:1");
@@ -143,7 +143,7 @@
   });
 });
 
-describe("pressure on the way of a route", () => {
+describe("pressure on the call path of a route", () => {
   const load = {
     running: 0,
     queued: 0,
@@ -152,17 +152,17 @@
     serviceMs: 0,
   };
 
-  it("is that of the narrowest service, here or below", () => {
+  it("is the highest one of the service and those downstream", () => {
     const table = createTable(createAnnouncement("a:1"));
     table.recordLoad("a:1", load, 1_000);
     table.recordDownstreamPressure("a:1", [["lookup", 0.6, 100]], 1_000);
-    const way = table.computePathPressure(SERVICE, "lookup", 1_000);
-    expect(way).to.deep.equal({ pressure: 0.6, reportedAtMs: 900 });
+    const path = table.computePathPressure(SERVICE, "lookup", 1_000);
+    expect(path).to.deep.equal({ pressure: 0.6, reportedAtMs: 900 });
     expect(table.computePathPressure(SERVICE, "view", 1_000).pressure)
       .to.equal(0.2);
   });
 
-  it("ends with its source, however often nodes pass it in a circle", () => {
+  it("expires with its source, although nodes forward it in a cycle", () => {
     const tables = ["a:1", "b:1"].map((at) =>
       createTable(createAnnouncement(at))
     );
@@ -173,10 +173,10 @@
     for (let nowMs = 0; nowMs <= 3_000; nowMs += 100) {
       const [from, to] = nowMs % 200 === 0 ? [0, 1] : [1, 0];
       const address = to === 0 ? "a:1" : "b:1";
-      const way = tables[from]!.computePathPressure(SERVICE, "lookup", nowMs);
-      last = way.pressure;
+      const path = tables[from]!.computePathPressure(SERVICE, "lookup", nowMs);
+      last = path.pressure;
       tables[to]!.recordLoad(address, calm, nowMs);
-      const ageMs = nowMs - way.reportedAtMs;
+      const ageMs = nowMs - path.reportedAtMs;
       tables[to]!.recordDownstreamPressure(
         address,
         [["lookup", last, ageMs]],
--- a/src/engine/relay/test/pipeline_test.ts
+++ b/src/engine/relay/test/pipeline_test.ts
@@ -1,10 +1,10 @@
-/** The order of a connection's requests, whatever comes and ends when. */
+/** Order of a connection's requests, for random arrivals and ends. */
 import { expect } from "chai";
 import fc from "fast-check";
 import { MAX_CONCURRENT_EXCHANGES, Pipeline } from "../common/pipeline.ts";
 
 describe("a connection's pipeline", () => {
-  it("starts each request once, in order, and never too many", () => {
+  it("starts each request once, in order, and within the limit", () => {
     const steps = fc.array(
       fc.oneof(fc.constant("add"), fc.nat({ max: 40 })),
       { maxLength: 200 },
@@ -33,7 +33,7 @@
     );
   });
 
-  it("takes nothing once it closes, and says who was on it", () => {
+  it("ignores further requests once it closes, and returns those it had", () => {
     const pipeline = new Pipeline<string>();
     expect(pipeline.add("a")).to.deep.equal(["a"]);
     expect(pipeline.isLast("a")).to.equal(true);
@@ -46,12 +46,13 @@
   });
 });
 
+/** Ends one of the running requests; returns the exchanges to start. */
 function endOne(
   pipeline: Pipeline<number>,
   running: Set<number>,
-  at: number,
+  choice: number,
 ): readonly number[] {
-  const exchange = [...running][at % Math.max(1, running.size)];
+  const exchange = [...running][choice % Math.max(1, running.size)];
   if (exchange === undefined) {
     return [];
   }
--- a/src/engine/relay/test/repeated_runs_test.ts
+++ b/src/engine/relay/test/repeated_runs_test.ts
@@ -1,4 +1,6 @@
-/** Which part of a backend server's calls is made by repeated runs. */
+/**
+ * Estimate of the share of a backend server's calls that repeated runs make.
+ */
 import { expect } from "chai";
 import { RepeatedRuns } from "../common/repeated_runs.ts";
 
@@ -7,39 +9,39 @@
 const OTHER = { route: "upload", repeatShare: 0 };
 const NOW_MS = 10_000;
 
-function begin(...runs: readonly (typeof FIRST)[]): RepeatedRuns {
+function startRuns(...runs: readonly (typeof FIRST)[]): RepeatedRuns {
   const repeated = new RepeatedRuns();
   runs.forEach((run) => repeated.recordStart(run, NOW_MS));
   return repeated;
 }
 
 describe("the runs that may have made a call", () => {
-  it("are repeats by their part of those that began", () => {
-    const repeated = begin(FIRST, REPEAT, OTHER);
+  it("are repeats in the ratio of the runs of the route that started", () => {
+    const repeated = startRuns(FIRST, REPEAT, OTHER);
     expect(repeated.computeRepeatShare(["lookup"], NOW_MS)).to.equal(1 / 2);
     expect(repeated.computeRepeatShare(["upload"], NOW_MS)).to.equal(0);
   });
 
-  it("are all that began where their routes aren't known", () => {
-    const repeated = begin(REPEAT, OTHER);
+  it("are all runs that started if the parent routes aren't known", () => {
+    const repeated = startRuns(REPEAT, OTHER);
     expect(repeated.computeRepeatShare([], NOW_MS)).to.equal(1 / 2);
     expect(repeated.computeRepeatShare(["transfer"], NOW_MS)).to.equal(1 / 2);
   });
 
-  it("carry on the likelihood that they were given", () => {
-    const repeated = begin({ route: "check", repeatShare: 0.25 });
+  it("pass on the probability that they are repeats", () => {
+    const repeated = startRuns({ route: "check", repeatShare: 0.25 });
     expect(repeated.computeRepeatShare(["check"], NOW_MS)).to.equal(0.25);
   });
 
-  it("count less with time, however long they last", () => {
-    const repeated = begin(REPEAT);
+  it("lose weight with time, however long they last", () => {
+    const repeated = startRuns(REPEAT);
     repeated.recordStart(FIRST, NOW_MS + 100);
     expect(repeated.computeRepeatShare(["lookup"], NOW_MS + 100))
       .to.equal(0.5 / 1.5);
   });
 
-  it("are forgotten as repeats once their part is next to nothing", () => {
-    const repeated = begin(REPEAT);
+  it("no longer count as repeats once their weight is negligible", () => {
+    const repeated = startRuns(REPEAT);
     repeated.recordStart(FIRST, NOW_MS + 800);
     expect(repeated.computeRepeatShare(["lookup"], NOW_MS + 800)).to.equal(0);
   });
--- a/src/engine/relay/test/requests.ts
+++ b/src/engine/relay/test/requests.ts
@@ -1,8 +1,8 @@
-/** Requests for tests of the entry. */
+/** Test requests at an entry node. */
 import type { Route } from "../../routes/common/route_table.ts";
 import type { EntryRequest } from "../common/entry_types.ts";
 
-/** A route that may be repeated. */
+/** An idempotent route. */
 export const ROUTE: Route = {
   name: "lookup",
   host: "a.example",
@@ -15,7 +15,7 @@
   maxAttempts: 2,
 };
 
-/** Creates a request of that route. */
+/** Creates a request of `ROUTE`; `change` overrides its fields. */
 export function createEntryRequest(
   change: Partial<EntryRequest> & Pick<EntryRequest, "arrivedAtMs">,
 ): EntryRequest {
--- a/src/engine/relay/test/retry_simulation.ts
+++ b/src/engine/relay/test/retry_simulation.ts
@@ -1,22 +1,25 @@
-/** Call trees whose answers are lost, over nodes that each have a budget. */
+/**
+ * Simulates call trees with lost answers, on nodes with a retry budget each.
+ */
 import { createRandom } from "../../../base/test/seeded_random.ts";
 import type { Random } from "../../../base/test/seeded_random.ts";
 import type { Arrival } from "../../../../standin/retry_windows.ts";
 import { RepeatedRuns } from "../common/repeated_runs.ts";
 
-/** A kind of request, and the calls that its runs make. */
+/** A route, and the calls that its runs make. */
 export interface TreeRoute {
   readonly service: string;
+  /** Mean time of a run without the calls that it makes. */
   readonly workMs: number;
   readonly calls: readonly {
     readonly route: string;
     readonly times: number;
   }[];
-  /** Requests of callers a second, over all nodes. */
+  /** Root requests a second, over all nodes. */
   readonly rootsPerS: number;
 }
 
-/** Which call a budget is asked about. */
+/** The properties of a call that a budget may depend on. */
 export interface SimulatedCall {
   readonly service: string;
   readonly route: string;
@@ -25,31 +28,33 @@
   readonly repeatShare: number;
 }
 
-/** The budget of one node, as the entry uses it. */
+/** The retry budget of one node, as its entry uses it. */
 export interface SimulatedBudget {
-  readonly noteFirst: (call: SimulatedCall, nowMs: number) => void;
-  readonly noteRetry: (call: SimulatedCall, nowMs: number) => void;
+  readonly recordFirstAttempt: (call: SimulatedCall, nowMs: number) => void;
+  readonly recordRetry: (call: SimulatedCall, nowMs: number) => void;
   readonly canRetry: (call: SimulatedCall, nowMs: number) => boolean;
 }
 
-/** What is played. */
+/** Options of a simulation. */
 export interface RetrySimulation {
   readonly routes: Readonly<Record<string, TreeRoute>>;
   readonly nodesPerService: number;
   readonly seed: number;
   readonly untilMs: number;
-  /** Share of answers that is lost at a time. */
+  /** Computes the share of answers that is lost at a time, 0 to 1. */
   readonly computeLoss: (nowMs: number) => number;
-  /** Part of the lost answers whose run makes no calls before. */
-  readonly earlyPart: number;
+  /** Share of the lost answers whose runs end before they make calls. */
+  readonly earlyLossShare: number;
   /** Mean time between two restarts of a node; undefined for none. */
   readonly restartEveryMs?: number;
   readonly createBudget: (startedAtMs: number) => SimulatedBudget;
 }
 
-/** What came of it. */
+/** Result of a simulation. */
 export interface RetryOutcome {
+  /** Calls that arrived at backend servers, in order. */
   readonly arrivals: readonly Arrival[];
+  /** Number of root requests, and of those that were answered. */
   readonly roots: number;
   readonly served: number;
 }
@@ -63,15 +68,16 @@
 const HOP_MS = 2;
 const MAX_ATTEMPTS = 2;
 
-/** Plays the requests of callers and all calls below them. */
+/** Plays root requests and all calls that result from them. */
 export function playRetries(options: RetrySimulation): RetryOutcome {
-  return new Play(options).run();
+  return new Simulation(options).run();
 }
 
-class Play {
+class Simulation {
   readonly #options: RetrySimulation;
   readonly #draw: Random;
   readonly #nodes: readonly SimulatedNode[];
+  /** Steps by the time at which they are due. */
   readonly #due = new Map<number, (() => void)[]>();
   readonly #arrivals: Arrival[] = [];
   #nowMs = 0;
@@ -110,7 +116,7 @@
     };
   }
 
-  #after(delayMs: number, step: () => void): void {
+  #schedule(delayMs: number, step: () => void): void {
     const atMs = this.#nowMs + Math.max(1, Math.round(delayMs));
     const steps = this.#due.get(atMs) ?? [];
     this.#due.set(atMs, steps);
@@ -121,12 +127,13 @@
     return -Math.log(1 - this.#draw()) * meanMs;
   }
 
+  /** Schedules the next root request of a route. */
   #arrive(name: string): void {
     const { rootsPerS } = this.#options.routes[name]!;
     if (rootsPerS === 0) {
       return;
     }
-    this.#after(this.#drawTime(1_000 / rootsPerS), () => {
+    this.#schedule(this.#drawTime(1_000 / rootsPerS), () => {
       const from = this.#nodes[Math.floor(this.#draw() * this.#nodes.length)]!;
       this.#roots += 1;
       this.#call(name, { from, isOfRepeat: undefined }, (isServed) => {
@@ -137,14 +144,17 @@
   }
 
   #restart(node: SimulatedNode, everyMs: number): void {
-    this.#after(this.#drawTime(everyMs), () => {
+    this.#schedule(this.#drawTime(everyMs), () => {
       node.budget = this.#options.createBudget(this.#nowMs);
       node.repeated = new RepeatedRuns();
       this.#restart(node, everyMs);
     });
   }
 
-  /** `isOfRepeat`: of the run that makes the call; undefined for callers. */
+  /**
+   * Makes a call from a node. `isOfRepeat`: whether the run that makes the call
+   * is a repeat; undefined for a root request.
+   */
   #call(
     name: string,
     { from, isOfRepeat }: {
@@ -168,7 +178,7 @@
         ? from.repeated.computeRepeatShare(parents, this.#nowMs)
         : 0,
     };
-    from.budget.noteFirst(call, this.#nowMs);
+    from.budget.recordFirstAttempt(call, this.#nowMs);
     const attempt = (count: number) => {
       const isRepeat = count > 1 || isOfRepeat === true;
       const repeatShare = count > 1 ? 1 : call.repeatShare;
@@ -176,7 +186,7 @@
         const canRetry = end === "lost" && count < MAX_ATTEMPTS &&
           from.budget.canRetry(call, this.#nowMs);
         if (canRetry) {
-          from.budget.noteRetry(call, this.#nowMs);
+          from.budget.recordRetry(call, this.#nowMs);
           attempt(count + 1);
         } else {
           done(end === "served");
@@ -186,20 +196,21 @@
     attempt(1);
   }
 
+  /** Runs one attempt of a call at a member of its service. */
   #runAt(
     name: string,
     run: { readonly isRepeat: boolean; readonly repeatShare: number },
     done: (end: "served" | "failed" | "lost") => void,
   ): void {
-    const { routes, computeLoss, earlyPart } = this.#options;
+    const { routes, computeLoss, earlyLossShare } = this.#options;
     const { service, workMs, calls } = routes[name]!;
     const members = this.#nodes.filter((node) => node.service === service);
     const node = members[Math.floor(this.#draw() * members.length)]!;
-    this.#after(HOP_MS, () => {
+    this.#schedule(HOP_MS, () => {
       const atMs = this.#nowMs;
       this.#arrivals.push({ service, atMs, isRepeat: run.isRepeat });
       const isLost = this.#draw() < computeLoss(atMs);
-      if (isLost && this.#draw() < earlyPart) {
+      if (isLost && this.#draw() < earlyLossShare) {
         done("lost");
         return;
       }
@@ -211,7 +222,7 @@
       const steps = calls
         .flatMap(({ route, times }) => Array<string>(times).fill(route));
       const advance = (at: number) =>
-        this.#after(this.#drawTime(workMs / (steps.length + 1)), () => {
+        this.#schedule(this.#drawTime(workMs / (steps.length + 1)), () => {
           const next = steps[at];
           if (next === undefined) {
             end(true);
--- a/src/engine/relay/test/root_admission_test.ts
+++ b/src/engine/relay/test/root_admission_test.ts
@@ -1,4 +1,4 @@
-/** Who is refused at a root. */
+/** Which root requests are refused at their entry. */
 import { expect } from "chai";
 import { createRandom } from "../../../base/test/seeded_random.ts";
 import {
@@ -8,11 +8,11 @@
   isRootRefused,
 } from "../common/root_admission.ts";
 
-describe("roots", () => {
+describe("root requests", () => {
   const share = (rank: number, pressure: number) =>
     computeRefusedShare({ rank, lastRank: 2, pressure, admittedShare: 0 });
 
-  it("are all begun without pressure", () => {
+  it("are all admitted without pressure", () => {
     expect([0, 1, 2].map((rank) => share(rank, 0))).to.deep.equal([0, 0, 0]);
   });
 
@@ -29,7 +29,7 @@
     }
   });
 
-  it("are never all refused, of whatever rank", () => {
+  it("are never all refused, whatever their rank", () => {
     const request = { rank: 2, lastRank: 2, pressure: 1, admittedShare: 0 };
     expect(isRootRefused({ ...request, draw: 0.9 })).to.equal(false);
     expect(isRootRefused({ ...request, draw: 0.1 })).to.equal(true);
@@ -42,14 +42,17 @@
   const ROOTS_PER_S = 200;
   const LENGTH_S = 60;
 
-  /** Part of it that is let in, and of all, under a lasting pressure. */
-  function play(lastPart: number, pressure: number) {
+  /**
+   * Plays requests under constant pressure. Returns the admission ratio of the
+   * least urgent rank, relative to that of all ranks.
+   */
+  function play(lastShare: number, pressure: number) {
     const draw = createRandom(1);
     const admitted = new AdmittedShare();
-    const begun = { last: 0, all: 0 };
-    const asked = { last: 0, all: 0 };
+    const started = { last: 0, all: 0 };
+    const requested = { last: 0, all: 0 };
     for (let n = 0; n < ROOTS_PER_S * LENGTH_S; n += 1) {
-      const isLast = draw() < lastPart;
+      const isLast = draw() < lastShare;
       const rank = isLast ? LAST : RANKS[Math.floor(draw() * LAST)]!;
       const isRefused = isRootRefused({
         rank,
@@ -59,20 +62,20 @@
         draw: draw(),
       });
       admitted.record(!isRefused, n * 1_000 / ROOTS_PER_S);
-      asked.all += 1;
-      asked.last += isLast ? 1 : 0;
-      begun.all += isRefused ? 0 : 1;
-      begun.last += isLast && !isRefused ? 1 : 0;
+      requested.all += 1;
+      requested.last += isLast ? 1 : 0;
+      started.all += isRefused ? 0 : 1;
+      started.last += isLast && !isRefused ? 1 : 0;
     }
-    return begun.last / asked.last / (begun.all / asked.all);
+    return started.last / requested.last / (started.all / requested.all);
   }
 
-  // Guards the least urgent callers against being starved.
+  // Without a lower bound the least urgent callers would be starved.
   it("is let in a quarter as often as all at least, whatever its part", () => {
-    for (const lastPart of [0.05, 0.15, 0.3, 0.6, 0.9]) {
+    for (const lastShare of [0.05, 0.15, 0.3, 0.6, 0.9]) {
       for (const pressure of [0.3, 0.6, 0.7, 0.8, 0.9, 1]) {
-        const shown = `${lastPart} of all, pressure ${pressure}`;
-        expect(play(lastPart, pressure), shown).to.be.at.least(0.25);
+        const shown = `${lastShare} of all, pressure ${pressure}`;
+        expect(play(lastShare, pressure), shown).to.be.at.least(0.25);
       }
     }
   });
@@ -82,33 +85,38 @@
   const body = new Uint8Array([1, 2, 3]);
   const request = { route: "lookup", target: "/a/7f3a", body };
 
-  const pressed = { rank: 2, lastRank: 2, pressure: 0.7, admittedShare: 0 };
+  const underPressure = {
+    rank: 2,
+    lastRank: 2,
+    pressure: 0.7,
+    admittedShare: 0,
+  };
 
-  /** Share of clients that get in with so many tries a second apart. */
-  function countAdmitted(tries: number): number {
+  /** Computes the share of clients admitted in `tries` tries, 20 ms apart. */
+  function computeAdmittedShare(tries: number): number {
     const clients = Array.from({ length: 2_000 }, (_, i) => `/a/${i}`);
     const admitted = clients.filter((target) =>
       Array.from({ length: tries }, (_, n) => n * 20).some((nowMs) => {
         const draw = drawForRequest({ ...request, target }, nowMs);
-        return !isRootRefused({ ...pressed, draw });
+        return !isRootRefused({ ...underPressure, draw });
       })
     );
     return admitted.length / clients.length;
   }
 
   it("are answered alike, so that trying often gets nobody in", () => {
-    expect(countAdmitted(1)).to.be.within(0.12, 0.18);
-    expect(countAdmitted(4)).to.be.within(0.12, 0.18);
+    expect(computeAdmittedShare(1)).to.be.within(0.12, 0.18);
+    expect(computeAdmittedShare(4)).to.be.within(0.12, 0.18);
   });
 
-  it("are told from others by what they carry", () => {
+  it("are distinguished from other requests by their content", () => {
     const other = new Uint8Array([1, 2, 4]);
     expect(drawForRequest({ ...request, body: other }, 0))
       .not.to.equal(drawForRequest(request, 0));
     expect(drawForRequest(request, 0)).to.equal(drawForRequest(request, 20));
   });
 
-  it("are drawn anew after some seconds: nobody is refused for ever", () => {
+  it("get a new draw after some seconds, so that none is refused for ever", () => {
     const draws = [0, 9_000, 18_000, 27_000]
       .map((nowMs) => drawForRequest(request, nowMs));
     expect(new Set(draws).size).to.equal(4);
