--- a/src/engine/relay/common/held_bytes.ts
+++ b/src/engine/relay/common/held_bytes.ts
@@ -1,7 +1,7 @@
 /** Limits the bytes of request bodies that a listener buffers. */
 
 /** The buffered bytes of one request. */
-export interface ByteHold {
+export interface ByteReservation {
   /** Adds bytes; returns false, and adds none, if they exceed the limit. */
   readonly add: (bytes: number) => boolean;
   /** Frees all bytes of the request. */
@@ -12,7 +12,7 @@
  * Bounds the buffered bytes of all requests together. A request that is the
  * only one with buffered bytes may exceed the limit.
  */
-export class HeldBytes {
+export class BufferedBytes {
   readonly #maxBytes: number;
   #bytes = 0;
 
@@ -21,7 +21,7 @@
   }
 
   /** Begins to count the bytes of one request. */
-  open(): ByteHold {
+  open(): ByteReservation {
     let ownBytes = 0;
     return {
       add: (bytes) => {
--- a/src/engine/relay/node/caller_server.ts
+++ b/src/engine/relay/node/caller_server.ts
@@ -16,7 +16,7 @@
 import type { CallDialect } from "../common/dialect.ts";
 import type { EntryRequest, EntryResult } from "../common/entry_types.ts";
 import type { RelayLog } from "../common/relay_log.ts";
-import { HeldBytes } from "../common/held_bytes.ts";
+import { BufferedBytes } from "../common/held_bytes.ts";
 import { RouteWaiters } from "../common/route_waiters.ts";
 import { RoutesInForce } from "../common/routes_in_force.ts";
 import { readBody } from "./body_reader.ts";
@@ -87,7 +87,7 @@
   readonly #routes = new RoutesInForce();
   #isDraining = false;
   #open = 0;
-  readonly #held = new HeldBytes(MAX_HELD_BYTES);
+  readonly #held = new BufferedBytes(MAX_HELD_BYTES);
   readonly #waiters = new RouteWaiters<Exchange>();
   /** Requests whose key, or room under its limit, control has yet to say. */
   readonly #unsure = new RouteWaiters<Exchange>();
