--- a/src/engine/relay/common/gate.ts
+++ b/src/engine/relay/common/gate.ts
@@ -98,6 +98,7 @@
   completionGapMs: number;
   /** Time of the last completion. */
   lastCompletionMs: number;
+  /** How strongly entries refuse root requests because of this gate. */
   readonly pressure: PressureState;
 }
 
@@ -109,8 +110,8 @@
 const USABLE_SLOT_RATIO = 0.95;
 /** Weight of a new sample in the smoothed service time over all routes. */
 const MEAN_SERVICE_GAIN = 0.02;
-/** Weight of a new sample in a route's service time and the completion gap. */
-const ROUTE_SERVICE_GAIN = 0.1;
+/** The same in a route's service time and in the completion gap. */
+const SAMPLE_GAIN = 0.1;
 /** Assumed service time of a route without a sample. */
 const DEFAULT_SERVICE_MS = 20;
 const MIN_RETRY_AFTER_MS = 50;
@@ -225,7 +226,7 @@
   return [refuseCall(state, victim.id, reason)];
 }
 
-/** Whether less than half of a usual run fits before the call's deadline. */
+/** Whether the time left covers no more than half of a usual run. */
 function hasTooLittleTime(
   state: GateState,
   call: GateCall,
@@ -258,7 +259,7 @@
   if (state.queue.length > 0) {
     const gapMs = Math.min(1_000, nowMs - state.lastCompletionMs);
     state.completionGapMs += (gapMs - state.completionGapMs) *
-      ROUTE_SERVICE_GAIN;
+      SAMPLE_GAIN;
   }
   state.lastCompletionMs = nowMs;
   state.running = Math.max(0, state.running - 1);
@@ -280,7 +281,7 @@
   if (time === undefined) {
     state.serviceTimes.set(route, { meanMs: serviceMs });
   } else {
-    time.meanMs += (serviceMs - time.meanMs) * ROUTE_SERVICE_GAIN;
+    time.meanMs += (serviceMs - time.meanMs) * SAMPLE_GAIN;
   }
 }
 
--- a/src/engine/relay/common/gate_lines.ts
+++ b/src/engine/relay/common/gate_lines.ts
@@ -9,7 +9,7 @@
   /** `lagMs`: current delay of the event loop. */
   { nowMs, lagMs }: { readonly nowMs: number; readonly lagMs: number },
 ): RelayLine {
-  const { opened, deadlineMs, arrivedAtMs, transitDelayMs: onWayMs } = call;
+  const { opened, deadlineMs, arrivedAtMs, transitDelayMs } = call;
   return {
     event: "CallHandedOver",
     isFailure: false,
@@ -18,8 +18,8 @@
     isNested: opened.isNested,
     repeatShare: opened.repeatShare,
     timeLeftMs: deadlineMs - nowMs,
-    onWayMs,
-    waitedMs: nowMs - arrivedAtMs - onWayMs,
+    onWayMs: transitDelayMs,
+    waitedMs: nowMs - arrivedAtMs - transitDelayMs,
     lagMs,
   };
 }
--- a/src/engine/relay/common/gate_load_log.ts
+++ b/src/engine/relay/common/gate_load_log.ts
@@ -13,7 +13,7 @@
 
 /** Aggregates the samples of one gate since the last line. */
 export class GateLoadLog {
-  #lastLineAtMs = -Infinity;
+  #intervalStartMs = -Infinity;
   #sampleCount = 0;
   #runningSum = 0;
   #queuedSum = 0;
@@ -31,12 +31,12 @@
     this.#queuedSum += queue.length;
     this.#minRunning = Math.min(this.#minRunning, running);
     this.#maxPressure = Math.max(this.#maxPressure, pressure);
-    if (nowMs - this.#lastLineAtMs < LOG_INTERVAL_MS) {
+    if (nowMs - this.#intervalStartMs < LOG_INTERVAL_MS) {
       return undefined;
     }
     const line = this.#createLine(state);
     const hasPressure = this.#maxPressure > 0;
-    this.#lastLineAtMs = nowMs;
+    this.#intervalStartMs = nowMs;
     this.#sampleCount = 0;
     this.#runningSum = 0;
     this.#queuedSum = 0;
--- a/src/engine/relay/common/root_admission.ts
+++ b/src/engine/relay/common/root_admission.ts
@@ -1,7 +1,8 @@
 /**
- * Refuses root requests at their entry if a service on their call path is under
- * pressure, the least urgent ones first: otherwise work would be started that
- * fails midway.
+ * Admission of root requests at their entry node. A root request is one that no
+ * backend server made. While a service on its call path is under pressure, a
+ * share of these requests is refused, the least urgent first: otherwise work
+ * would be started that fails midway.
  */
 import { hashBytes, hashText } from "../../../base/common/hash.ts";
 
--- a/src/engine/relay/test/call_tree_budget_test.ts
+++ b/src/engine/relay/test/call_tree_budget_test.ts
@@ -8,7 +8,7 @@
 import { playRetries } from "./retry_simulation.ts";
 import type { RetryOutcome, TreeRoute } from "./retry_simulation.ts";
 
-const TERMS = { ratio: 0.2, slack: 49, windowMs: 10_000 };
+const LIMITS = { ratio: 0.2, slack: 49, windowMs: 10_000 };
 const NODES_PER_SERVICE = 3;
 /** No answers are lost before. */
 const LOSS_START_MS = 11_000;
@@ -71,7 +71,7 @@
     computeLoss: (nowMs) => nowMs < LOSS_START_MS ? 0 : loss,
     createBudget: (startedAtMs) => {
       const budget = new EntryBudget(
-        { ratio: TERMS.ratio, slack: TERMS.slack, windowS: 10 },
+        { ratio: LIMITS.ratio, slack: LIMITS.slack, windowS: 10 },
         { startedAtMs, draw },
       );
       return {
@@ -91,7 +91,7 @@
 
 /** Lists the windows in which a service received too many repeats. */
 function listExceededWindows({ arrivals }: RetryOutcome) {
-  return findWorstWindows(arrivals, TERMS)
+  return findWorstWindows(arrivals, LIMITS)
     .filter(({ repeats, allowed }) => repeats > allowed);
 }
 
--- a/src/engine/relay/test/entry_budget_test.ts
+++ b/src/engine/relay/test/entry_budget_test.ts
@@ -3,7 +3,7 @@
 import { EntryBudget } from "../common/entry_budget.ts";
 import type { BudgetedCall } from "../common/entry_budget.ts";
 
-const TERMS = { ratio: 0.2, slack: 80, windowS: 10 };
+const LIMITS = { ratio: 0.2, slack: 80, windowS: 10 };
 const LEAF = { nodes: 8, hasDownstreamCalls: false };
 const WITH_DOWNSTREAM = { nodes: 8, hasDownstreamCalls: true };
 const CALL = { service: "s", route: "r", isNested: true, repeatShare: 0 };
@@ -34,7 +34,7 @@
     readonly draw?: number;
   } = {},
 ): EntryBudget {
-  const budget = new EntryBudget(TERMS, { startedAtMs: 0, draw: () => draw });
+  const budget = new EntryBudget(LIMITS, { startedAtMs: 0, draw: () => draw });
   for (let n = 0; n < firsts; n += 1) {
     budget.recordFirstAttempt(call, NOW_MS);
   }
@@ -80,7 +80,7 @@
 
   // A restart must not make the slack available again within one window.
   it("has no slack until a window after the start of the process", () => {
-    const restarted = new EntryBudget(TERMS, {
+    const restarted = new EntryBudget(LIMITS, {
       startedAtMs: NOW_MS,
       draw: () => 0,
     });
