--- a/src/engine/relay/common/entry_call.ts
+++ b/src/engine/relay/common/entry_call.ts
@@ -1,4 +1,4 @@
-/** A call as its entry node keeps it until the final answer. */
+/** State of a call at its entry node, from its start to the final answer. */
 import { cutFirstPart } from "../../mesh/common/body_parts.ts";
 import type { BodyCollector } from "../../mesh/common/body_parts.ts";
 import type { AnswerOpened, CallOpened } from "../../mesh/common/frames.ts";
@@ -10,27 +10,37 @@
   EntryResult,
 } from "./entry_types.ts";
 
-/** A call that was started, with where its result goes. */
+/** A call in progress, with the callback for its result. */
 export interface EntryCall {
   readonly id: number;
   readonly request: EntryRequest;
+  /** Service that the call is sent to. */
   readonly service: string;
   readonly onResult: (result: EntryResult) => void;
+  /** Addresses of the members that the call was sent to. */
   readonly tried: Set<string>;
-  handedOver: number;
+  /** Failed attempts that a backend server has, or may have, received. */
+  handoverCount: number;
+  /** Whether a backend server may have begun to run the call. */
   mayHaveRun: boolean;
-  rerouted: number;
+  /**
+   * How many nodes refused the call before their backend server received it.
+   */
+  rerouteCount: number;
+  /** When a refused caller may repeat its request, from the refusal on. */
   retryAfterMs: number;
+  /** Attempt in progress; undefined if there is none. */
   attempt: Attempt | undefined;
+  /** Answer that is being received; undefined before its head. */
   answer:
     | { readonly opened: AnswerOpened; readonly body: BodyCollector }
     | undefined;
 }
 
-/** A refused caller comes back no sooner, in milliseconds. */
-export const MIN_RETRY_MS = 50;
+/** Shortest time after which a refused caller may repeat its request. */
+export const MIN_RETRY_AFTER_MS = 50;
 
-/** Creates a call that was sent nowhere yet. */
+/** Creates a call that has not been sent to any node. */
 export function createEntryCall(
   id: number,
   request: EntryRequest,
@@ -43,17 +53,17 @@
     service,
     onResult,
     tried: new Set(),
-    handedOver: 0,
+    handoverCount: 0,
     mayHaveRun: false,
-    rerouted: 0,
-    retryAfterMs: MIN_RETRY_MS,
+    rerouteCount: 0,
+    retryAfterMs: MIN_RETRY_AFTER_MS,
     attempt: undefined,
     answer: undefined,
   };
 }
 
-/** Creates the frame that hands a call to a node. */
-export function createOpening(call: EntryCall): CallOpened {
+/** Creates the frame that sends a call to a node. */
+export function createCallOpened(call: EntryCall): CallOpened {
   const { request, service } = call;
   const { route, body } = request;
   return {
@@ -69,20 +79,22 @@
     route: route.name,
     isIdempotent: route.isIdempotent,
     isNested: request.isNested,
-    repeatShare: call.handedOver > 0 ? 1 : request.repeatShare,
+    repeatShare: call.handoverCount > 0 ? 1 : request.repeatShare,
     bodyBytes: body.length,
     body: cutFirstPart(body),
   };
 }
 
-/** Creates what the retry budget counts of a call. */
-export function createBudgeted({ request, service }: EntryCall): BudgetedCall {
+/** Creates the view of a call that the retry budget needs. */
+export function createBudgetedCall(
+  { request, service }: EntryCall,
+): BudgetedCall {
   const { route, isNested, repeatShare } = request;
   return { service, route: route.name, isNested, repeatShare };
 }
 
-/** Creates what the caller of a call is told that isn't tried further. */
-export function createRefusal(call: EntryCall): EntryFailure {
+/** Creates the failure that a caller receives when its call is not retried. */
+export function createFailure(call: EntryCall): EntryFailure {
   return call.mayHaveRun
     ? { type: "Unknown" }
     : { type: "Refused", retryAfterMs: call.retryAfterMs };
--- a/src/engine/relay/node/backend_client.ts
+++ b/src/engine/relay/node/backend_client.ts
@@ -230,11 +230,11 @@
     this.#options = options;
   }
 
-  get hasBegun(): boolean {
+  get hasStartedSending(): boolean {
     return this.#hasBegun;
   }
 
-  breakOff(): void {
+  abort(): void {
     this.#isAborted = true;
     this.#isSettled = true;
     this.#controller?.abort(
--- a/src/engine/relay/node/caller_connection.ts
+++ b/src/engine/relay/node/caller_connection.ts
@@ -83,11 +83,11 @@
     const { response } = exchange;
     const next = this.#pipeline.add(exchange);
     if (!response.shouldKeepAlive) {
-      this.#pipeline.stopTaking();
+      this.#pipeline.stopAccepting();
     }
     response.on("close", () => this.#end(exchange));
     this.#startAll(next);
-    if (this.#pipeline.isFull) {
+    if (this.#pipeline.hasWaiting) {
       this.#socket.pause();
     }
   }
@@ -100,14 +100,14 @@
   closeIfLast(exchange: Exchange): boolean {
     const isLast = this.#pipeline.isLast(exchange);
     if (isLast) {
-      this.#pipeline.stopTaking();
+      this.#pipeline.stopAccepting();
     }
     return isLast;
   }
 
   /** Accepts no more requests, and closes once all have been answered. */
   closeWhenIdle(): void {
-    this.#pipeline.stopTaking();
+    this.#pipeline.stopAccepting();
     this.#endIfIdle();
   }
 
@@ -118,7 +118,7 @@
       return;
     }
     this.#startAll(next);
-    if (!this.#pipeline.isFull) {
+    if (!this.#pipeline.hasWaiting) {
       this.#socket.resume();
     }
     this.#endIfIdle();
--- a/src/engine/relay/node/caller_replies.ts
+++ b/src/engine/relay/node/caller_replies.ts
@@ -61,9 +61,9 @@
   ): void {
     const { dialect, readClock, draw } = this.#options;
     const { request, arrivedAtMs } = exchange;
-    const { patienceMs = DEFAULT_WAIT_LIMIT_MS } = dialect
-      .readTerms(request.headers);
-    const timeLeftMs = arrivedAtMs + patienceMs - readClock();
+    const { timeoutMs: callerTimeoutMs = DEFAULT_WAIT_LIMIT_MS } = dialect
+      .readRequestMetadata(request.headers);
+    const timeLeftMs = arrivedAtMs + callerTimeoutMs - readClock();
     const waitMs = computeRetryWaitMs(retryAfterMs, {
       timeLeftMs,
       draw: draw(),
--- a/src/engine/relay/node/caller_server.ts
+++ b/src/engine/relay/node/caller_server.ts
@@ -19,7 +19,7 @@
 import type { CallDialect } from "../common/dialect.ts";
 import type { EntryRequest, EntryResult } from "../common/entry_types.ts";
 import type { RelayLog } from "../common/relay_log.ts";
-import { HeldBytes } from "../common/held_bytes.ts";
+import { BufferedBytes } from "../common/held_bytes.ts";
 import { RouteWaiters } from "../common/route_waiters.ts";
 import { RoutesInForce } from "../common/routes_in_force.ts";
 import { readBody } from "./body_reader.ts";
@@ -104,7 +104,7 @@
   readonly #routes = new RoutesInForce();
   #isDraining = false;
   #openCount = 0;
-  readonly #heldBytes = new HeldBytes(MAX_HELD_BYTES);
+  readonly #heldBytes = new BufferedBytes(MAX_HELD_BYTES);
   readonly #routeWaiters = new RouteWaiters<Exchange>();
   /** Requests that wait for a proof of their key, or for their rate limit. */
   readonly #proofWaiters = new RouteWaiters<Exchange>();
@@ -155,9 +155,9 @@
   /** Refuses the requests whose wait limit has passed. */
   tick(): void {
     const nowMs = this.#options.readClock();
-    this.#routeWaiters.takeLate(nowMs)
+    this.#routeWaiters.takeExpired(nowMs)
       .forEach((exchange) => this.#refuseEarly(exchange, "no routes yet"));
-    this.#proofWaiters.takeLate(nowMs)
+    this.#proofWaiters.takeExpired(nowMs)
       .forEach((exchange) => this.#refuseEarly(exchange, "not told in time"));
     if (!this.#proofWaiters.isEmpty) {
       // The last proof may have been requested before these requests arrived.
@@ -252,9 +252,10 @@
     reason: string,
   ): void {
     const { request, arrivedAtMs } = exchange;
-    const { patienceMs = DEFAULT_WAIT_LIMIT_MS } = this.#options.dialect
-      .readTerms(request.headers);
-    if (!waiters.add(exchange, { arrivedAtMs, patienceMs })) {
+    const { timeoutMs: callerTimeoutMs = DEFAULT_WAIT_LIMIT_MS } = this.#options
+      .dialect
+      .readRequestMetadata(request.headers);
+    if (!waiters.add(exchange, { arrivedAtMs, callerTimeoutMs })) {
       this.#refuseEarly(exchange, reason);
     }
   }
@@ -273,7 +274,8 @@
     log.write({
       event: "RequestRefused",
       isFailure: true,
-      requestId: dialect.readTerms(exchange.request.headers).requestId,
+      requestId:
+        dialect.readRequestMetadata(exchange.request.headers).requestId,
       reason,
       routesVersion: this.#routes.version,
       ...inputs,
@@ -297,7 +299,7 @@
       return;
     }
     const { dialect, workspaces } = this.#options;
-    const { key } = dialect.readTerms(request.headers);
+    const { key } = dialect.readRequestMetadata(request.headers);
     const checked = workspaces.check(key, exchange.arrivedAtMs);
     if (this.#canContinue(exchange, checked)) {
       await this.#readAndStart(exchange, route, checked.workspace);
@@ -411,13 +413,14 @@
   ): void {
     const { request, arrivedAtMs } = exchange;
     const { dialect, getCallerService, readClock, startCall } = this.#options;
-    const { requestId, patienceMs = DEFAULT_WAIT_LIMIT_MS } = dialect
-      .readTerms(request.headers);
+    const { requestId, timeoutMs: callerTimeoutMs = DEFAULT_WAIT_LIMIT_MS } =
+      dialect
+        .readRequestMetadata(request.headers);
     if (requestId === undefined) {
       this.#replies.reply(exchange, 400);
       return;
     }
-    const deadlineMs = arrivedAtMs + Math.min(route.timeoutMs, patienceMs);
+    const deadlineMs = arrivedAtMs + Math.min(route.timeoutMs, callerTimeoutMs);
     if (readClock() >= deadlineMs) {
       this.#refundQuota(workspace);
       this.#refuseEarly(exchange, "time limit");
--- a/src/engine/relay/node/entry_calls.ts
+++ b/src/engine/relay/node/entry_calls.ts
@@ -12,11 +12,11 @@
   MeshFrame,
 } from "../../mesh/common/frames.ts";
 import {
-  createBudgeted,
+  createBudgetedCall,
+  createCallOpened,
   createEntryCall,
-  createOpening,
-  createRefusal,
-  MIN_RETRY_MS,
+  createFailure,
+  MIN_RETRY_AFTER_MS,
 } from "../common/entry_call.ts";
 import type { EntryCall } from "../common/entry_call.ts";
 import {
@@ -25,7 +25,10 @@
   createWithdrawnLine,
 } from "../common/entry_lines.ts";
 import { EntryBudget } from "../common/entry_budget.ts";
-import type { BudgetCounts, BudgetTerms } from "../common/entry_budget.ts";
+import type {
+  BudgetCounts,
+  RetryBudgetLimits,
+} from "../common/entry_budget.ts";
 import { decideNextStep } from "../common/entry_decision.ts";
 import type { NextStep } from "../common/entry_decision.ts";
 import type {
@@ -35,12 +38,12 @@
   RetryCause,
 } from "../common/entry_types.ts";
 import {
+  CALL_STALL_LIMIT_MS,
   isMemberSilent,
+  LINK_SILENCE_LIMIT_MS,
   measureCallSilence,
-  SILENCE_MS,
-  STALLED_MS,
 } from "../common/link_silence.ts";
-import { noteResult } from "../common/member.ts";
+import { recordResult } from "../common/member.ts";
 import type { MemberTable } from "../common/member_table.ts";
 import {
   AdmittedShare,
@@ -75,7 +78,7 @@
   /** Data centre of this node, preferred when a member is chosen. */
   readonly dataCentre: string;
   readonly members: MemberTable;
-  readonly budget: BudgetTerms;
+  readonly budget: RetryBudgetLimits;
   readonly links: MeshLinks;
   /** Steady clock, in milliseconds. */
   readonly readClock: () => number;
@@ -105,7 +108,7 @@
   readonly reason: string;
 }
 
-/** The link of an attempt has been silent for `STALLED_MS`. */
+/** The link of an attempt has been silent for `CALL_STALL_LIMIT_MS`. */
 const STALLED_FAILURE: AttemptFailure = {
   kind: "unknown",
   cause: "stalled",
@@ -148,7 +151,7 @@
     const nowMs = this.#options.readClock();
     return new Map(
       this.#budget.listServices()
-        .map((name) => [name, this.#budget.count(name, nowMs)]),
+        .map((name) => [name, this.#budget.countAttempts(name, nowMs)]),
     );
   }
 
@@ -168,7 +171,10 @@
     if (!request.isNested && this.#tryRefuseRoot(call)) {
       return () => {};
     }
-    this.#budget.noteFirst(createBudgeted(call), request.arrivedAtMs);
+    this.#budget.recordFirstAttempt(
+      createBudgetedCall(call),
+      request.arrivedAtMs,
+    );
     this.#options.recordAttempt(service, "first");
     this.#send(call);
     return () => this.#withdraw(call);
@@ -233,10 +239,10 @@
       if (nowMs >= call.request.deadlineMs) {
         this.#cancelAttempt(call);
         this.#finish(call, { type: "Expired" }, "time limit", { silenceMs });
-      } else if (silenceMs > SILENCE_MS) {
+      } else if (silenceMs > LINK_SILENCE_LIMIT_MS) {
         silentAddresses.add(call.attempt!.address);
       } else if (
-        silenceMs > STALLED_MS && this.#canRetryElsewhere(call, nowMs)
+        silenceMs > CALL_STALL_LIMIT_MS && this.#canRetryElsewhere(call, nowMs)
       ) {
         this.#cancelAttempt(call);
         this.#fail(call, STALLED_FAILURE);
@@ -255,9 +261,9 @@
     const { members, getLastRank } = this.#options;
     const { route, rank, target, body, arrivedAtMs } = call.request;
     const { pressure } = members
-      .computeWayPressure(call.service, route.name, arrivedAtMs);
+      .computePathPressure(call.service, route.name, arrivedAtMs);
     if (pressure === 0) {
-      this.#admittedShare.note(true, arrivedAtMs);
+      this.#admittedShare.record(true, arrivedAtMs);
       return false;
     }
     const lastRank = getLastRank();
@@ -266,7 +272,7 @@
     const draw = drawForRequest(identity, arrivedAtMs);
     const inputs = { lastRank, pressure, admittedShare };
     const isRefused = isRootRefused({ rank, draw, ...inputs });
-    this.#admittedShare.note(!isRefused, arrivedAtMs);
+    this.#admittedShare.record(!isRefused, arrivedAtMs);
     if (isRefused) {
       const failure = { type: "Refused", retryAfterMs: ROOT_RETRY_MS } as const;
       this.#finish(call, failure, "pressure", inputs);
@@ -287,7 +293,12 @@
 
   /** Whether a call would be retried elsewhere if its attempt were abandoned. */
   #canRetryElsewhere(call: EntryCall, nowMs: number): boolean {
-    const step = this.#decideNext(call, "unknown", call.handedOver + 1, nowMs);
+    const step = this.#decideNext(
+      call,
+      "unknown",
+      call.handoverCount + 1,
+      nowMs,
+    );
     return step.type === "TryElsewhere";
   }
 
@@ -328,7 +339,7 @@
     call.tried.add(address);
     call.attempt = { member, address, call: call.id, sentAtMs: nowMs };
     const { body } = call.request;
-    links.send(address, createOpening(call));
+    links.send(address, createCallOpened(call));
     for (const bytes of listFurtherParts(body)) {
       links.send(address, { type: "BodyPart", call: call.id, bytes });
     }
@@ -337,16 +348,16 @@
   /** Queues a call while a first member may still be reported, or refuses it. */
   #waitForMember(call: EntryCall, nowMs: number): void {
     const { arrivedAtMs, deadlineMs } = call.request;
-    const patienceMs = deadlineMs - arrivedAtMs;
+    const callerTimeoutMs = deadlineMs - arrivedAtMs;
     const canStillJoin = call.tried.size === 0 &&
       !this.#options.members.isComplete(call.service);
     if (
       canStillJoin && this.#memberWaiters.size < MAX_WAITING &&
-      nowMs < computeMemberWaitEndMs({ arrivedAtMs, patienceMs })
+      nowMs < computeMemberWaitEndMs({ arrivedAtMs, callerTimeoutMs })
     ) {
       this.#memberWaiters.add(call);
     } else {
-      this.#finish(call, createRefusal(call), "no member");
+      this.#finish(call, createFailure(call), "no member");
     }
   }
 
@@ -361,7 +372,7 @@
   #openAnswer(address: string, opened: AnswerOpened): void {
     const { members, readClock } = this.#options;
     const nowMs = readClock();
-    members.noteLoad(address, opened.load, nowMs);
+    members.recordLoad(address, opened.load, nowMs);
     const call = this.#findCurrent(address, opened.call);
     if (call === undefined) {
       return;
@@ -392,7 +403,7 @@
 
   #receiveFailure(address: string, frame: CallFailed): void {
     const { members, readClock } = this.#options;
-    members.noteLoad(address, frame.load, readClock());
+    members.recordLoad(address, frame.load, readClock());
     const call = this.#findCurrent(address, frame.call);
     if (call === undefined) {
       return;
@@ -400,7 +411,7 @@
     if (frame.reason === "other_service") {
       members.removeAddress(call.service, address);
     }
-    call.retryAfterMs = Math.max(MIN_RETRY_MS, frame.retryAfterMs);
+    call.retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, frame.retryAfterMs);
     const { kind, reason } = frame;
     this.#fail(call, { kind, cause: RETRY_CAUSES[kind], reason });
   }
@@ -408,9 +419,9 @@
   #receiveLoad(address: string, frame: LoadReported): void {
     const { members, readClock, receiveCallerReport } = this.#options;
     const nowMs = readClock();
-    members.noteLoad(address, frame.load, nowMs);
+    members.recordLoad(address, frame.load, nowMs);
     if (frame.below !== undefined) {
-      members.noteBelow(address, frame.below, nowMs);
+      members.recordDownstreamPressure(address, frame.below, nowMs);
     }
     if (frame.callers.length > 0) {
       receiveCallerReport(address, frame.callers);
@@ -423,11 +434,11 @@
     const { member } = call.attempt!;
     if (kind === "unknown" || kind === "rejected") {
       this.#recordResult(call, true, nowMs);
-      call.handedOver += 1;
+      call.handoverCount += 1;
       call.mayHaveRun ||= kind === "unknown";
     }
     this.#releaseAttempt(call);
-    const step = this.#decideNext(call, kind, call.handedOver, nowMs);
+    const step = this.#decideNext(call, kind, call.handoverCount, nowMs);
     switch (step.type) {
       case "TryElsewhere":
         this.#options.recordAttempt(call.service, cause);
@@ -436,18 +447,18 @@
           kind,
           cause,
           reason,
-          budget: this.#budget.count(call.service, nowMs),
+          budget: this.#budget.countAttempts(call.service, nowMs),
           nowMs,
         }));
-        if (step.isArrival) {
-          this.#budget.noteRetry(createBudgeted(call), nowMs);
+        if (step.isBudgeted) {
+          this.#budget.recordRetry(createBudgetedCall(call), nowMs);
         } else {
-          call.rerouted += 1;
+          call.rerouteCount += 1;
         }
         this.#send(call);
         return;
       case "Refuse":
-        this.#finish(call, createRefusal(call), reason);
+        this.#finish(call, createFailure(call), reason);
         return;
       case "FailUnknown":
         this.#finish(call, { type: "Unknown" }, reason);
@@ -464,14 +475,14 @@
    */
   #recordResult(call: EntryCall, isFailure: boolean, nowMs: number): void {
     const { member } = call.attempt!;
-    if (noteResult(member, isFailure, nowMs)) {
+    if (recordResult(member, isFailure, nowMs)) {
       this.#options.log.write({
         event: "MemberLeftOut",
         isFailure: true,
         requestId: call.request.requestId,
         service: call.service,
         member: member.announcement.ingress,
-        failures: member.failures,
+        failures: member.consecutiveFailures,
         failureShare: member.failureShare,
         forMs: member.ejectedUntilMs - nowMs,
       });
@@ -481,7 +492,7 @@
   #decideNext(
     call: EntryCall,
     kind: CallFailed["kind"],
-    handedOver: number,
+    handoverCount: number,
     nowMs: number,
   ): NextStep {
     const { members } = this.#options;
@@ -491,17 +502,17 @@
     );
     const context = {
       nodes: members.countNodes(),
-      hasCallsBelow: members.hasCallsBelow(call.service, route.name),
+      hasDownstreamCalls: members.hasDownstreamCalls(call.service, route.name),
     };
     return decideNextStep({
       kind,
       isIdempotent: route.isIdempotent,
-      handedOver,
+      handoverCount,
       mayHaveRun: call.mayHaveRun,
       maxAttempts: route.maxAttempts,
-      rerouted: call.rerouted,
+      rerouteCount: call.rerouteCount,
       timeLeftMs: deadlineMs - nowMs,
-      canRetry: this.#budget.canRetry(createBudgeted(call), context, nowMs),
+      canRetry: this.#budget.canRetry(createBudgetedCall(call), context, nowMs),
       hasOtherMember: others.length > 0,
     });
   }
--- a/src/engine/relay/node/gate_calls.ts
+++ b/src/engine/relay/node/gate_calls.ts
@@ -22,8 +22,8 @@
 import {
   computeRetryAfterMs,
   createGate,
-  createLoad,
-  isSameLife,
+  createLoadFigures,
+  isSameProcessInstance,
   reduceGate,
 } from "../common/gate.ts";
 import type { GateEffect, GateEvent, LocalBackend } from "../common/gate.ts";
@@ -93,12 +93,12 @@
 
   /** Returns the load that is reported to callers. */
   readLoad(): LoadFigures {
-    return createLoad(this.#gate);
+    return createLoadFigures(this.#gate);
   }
 
   /** Whether calls of a link are in progress. */
   hasCalls(source: string): boolean {
-    return this.#calls.hasAny(source);
+    return this.#calls.hasCallsOfLink(source);
   }
 
   /**
@@ -109,7 +109,8 @@
     const before = this.#gate.backend ?? this.#lastKnownBackend;
     this.#lastKnownBackend = backend ?? before;
     const isReplaced = before !== undefined && backend !== undefined &&
-      before.address === backend.address && !isSameLife(before, backend);
+      before.address === backend.address &&
+      !isSameProcessInstance(before, backend);
     const aborted = isReplaced ? this.#abortRunning() : [];
     this.#step({ type: "BackendChanged", backend });
     aborted.forEach((call) => this.#fail(call, "unknown", "backend_restarted"));
@@ -120,7 +121,7 @@
     this.#step({ type: "Ticked" });
     this.#failOverdue();
     const { log, readClock } = this.#options;
-    const line = this.#loadLog.note(this.#gate, readClock());
+    const line = this.#loadLog.sample(this.#gate, readClock());
     if (line !== undefined) {
       log.write(line);
     }
@@ -159,7 +160,7 @@
         this.#openCall({ source, opened: frame, send, delayMs });
         return;
       case "BodyPart": {
-        const call = this.#calls.find(source, frame.call);
+        const call = this.#calls.findByLink(source, frame.call);
         call?.body.add(frame.bytes);
         if (call?.phase === "receiving" && call.body.isComplete) {
           this.#admitAfterMessage(call);
@@ -167,7 +168,7 @@
         return;
       }
       case "CallCancelled": {
-        const call = this.#calls.find(source, frame.call);
+        const call = this.#calls.findByLink(source, frame.call);
         if (call !== undefined) {
           this.#cancel(call, "caller left");
         }
@@ -185,10 +186,10 @@
 
   /** Cancels the calls of a lost link: nobody waits for their answers. */
   handleLinkLoss(source: string): void {
-    for (const call of this.#calls.listOfLink(source)) {
+    for (const call of this.#calls.listByLink(source)) {
       this.#cancel(call, "link lost");
     }
-    this.#calls.forgetLink(source);
+    this.#calls.removeLink(source);
     this.#callerServices.delete(source);
   }
 
@@ -205,7 +206,7 @@
     const cutoffMs = this.#options.readClock() - ANSWER_GRACE_MS;
     for (const call of [...this.#calls.list()]) {
       if (call.deadlineMs < cutoffMs) {
-        call.exchange?.breakOff();
+        call.exchange?.abort();
         this.#fail(call, "expired", "no answer at the deadline");
       }
     }
@@ -220,7 +221,7 @@
   #abortRunning(): readonly GateCallState[] {
     const running = [...this.#calls.list()]
       .filter(({ phase }) => phase === "running");
-    running.forEach((call) => call.exchange?.breakOff());
+    running.forEach((call) => call.exchange?.abort());
     this.#client?.[Symbol.asyncDispose]();
     this.#client = undefined;
     return running;
@@ -240,9 +241,9 @@
       body: new BodyCollector(opened.bodyBytes, opened.body),
       deadlineMs: opened.deadlineMs,
       arrivedAtMs,
-      onWayMs: delayMs,
+      transitDelayMs: delayMs,
       send,
-      source,
+      linkId: source,
       phase: "receiving",
       startedAtMs: 0,
       exchange: undefined,
@@ -255,7 +256,7 @@
     const service = this.#gate.backend?.service;
     if (service !== undefined && service !== opened.service) {
       this.#fail(call, "refused", "other_service");
-    } else if (this.#calls.isOverfull(opened.bodyBytes)) {
+    } else if (this.#calls.isOverBodyLimit(opened.bodyBytes)) {
       this.#fail(call, "refused", "memory");
     } else if (call.body.isComplete) {
       this.#admitAfterMessage(call);
@@ -363,9 +364,9 @@
   /** Returns why an answer belongs to another request; undefined if it doesn't. */
   #checkHead(head: BackendHead, requestId: string): string | undefined {
     const { status, headers } = head;
-    const { judgeAnswer } = this.#options.dialect;
-    const judgement = judgeAnswer({ status, headers, requestId });
-    return judgement.type === "Foreign" ? judgement.reason : undefined;
+    const { validateAnswer } = this.#options.dialect;
+    const validation = validateAnswer({ status, headers, requestId });
+    return validation.type === "Foreign" ? validation.reason : undefined;
   }
 
   #finish(call: GateCallState, result: BackendResult): void {
@@ -393,17 +394,17 @@
     const { dialect, readClock } = this.#options;
     const { status, headers, rawHeaders } = head;
     const { requestId } = call.opened;
-    const judgement = dialect.judgeAnswer({ status, headers, requestId });
-    switch (judgement.type) {
+    const validation = dialect.validateAnswer({ status, headers, requestId });
+    switch (validation.type) {
       case "NotRun":
-        this.#fail(call, "rejected", judgement.reason);
+        this.#fail(call, "rejected", validation.reason);
         return;
       case "WrongInstance":
         this.#options.onBackendLost();
         this.#fail(call, "refused", "wrong_instance");
         return;
       case "Foreign":
-        this.#fail(call, "unknown", judgement.reason);
+        this.#fail(call, "unknown", validation.reason);
         return;
       case "Answered":
         break;
@@ -459,11 +460,11 @@
    * call that waits for a connection has not begun.
    */
   #cancel(call: GateCallState, reason: string): void {
-    const wasRunning = call.exchange?.hasBegun ?? false;
+    const wasRunning = call.exchange?.hasStartedSending ?? false;
     if (wasRunning && !call.opened.isIdempotent) {
       return;
     }
-    call.exchange?.breakOff();
+    call.exchange?.abort();
     if (call.phase === "waiting") {
       this.#step({ type: "CallWithdrawn", id: call.id });
     }
--- a/src/engine/relay/test/pipeline_test.ts
+++ b/src/engine/relay/test/pipeline_test.ts
@@ -1,10 +1,10 @@
-/** The order of a connection's requests, whatever comes and ends when. */
+/** Order of a connection's requests, for random arrivals and ends. */
 import { expect } from "chai";
 import fc from "fast-check";
-import { MAX_STARTED, Pipeline } from "../common/pipeline.ts";
+import { MAX_CONCURRENT_EXCHANGES, Pipeline } from "../common/pipeline.ts";
 
 describe("a connection's pipeline", () => {
-  it("starts each request once, in order, and never too many", () => {
+  it("starts each request once, in order, and within the limit", () => {
     const steps = fc.array(
       fc.oneof(fc.constant("add"), fc.nat({ max: 40 })),
       { maxLength: 200 },
@@ -23,8 +23,8 @@
             started.push(exchange);
             running.add(exchange);
           }
-          expect(running.size).to.be.at.most(MAX_STARTED);
-          expect(pipeline.isFull).to.equal(started.length < added);
+          expect(running.size).to.be.at.most(MAX_CONCURRENT_EXCHANGES);
+          expect(pipeline.hasWaiting).to.equal(started.length < added);
         }
         expect(started).to.deep.equal([...started].sort((a, b) => a - b));
         expect(pipeline.size).to.equal(running.size + added - started.length);
@@ -33,25 +33,26 @@
     );
   });
 
-  it("takes nothing once it closes, and says who was on it", () => {
+  it("ignores further requests once it closes, and returns those it had", () => {
     const pipeline = new Pipeline<string>();
     expect(pipeline.add("a")).to.deep.equal(["a"]);
     expect(pipeline.isLast("a")).to.equal(true);
     expect(pipeline.add("b")).to.deep.equal(["b"]);
     expect(pipeline.isLast("a")).to.equal(false);
-    pipeline.stopTaking();
+    pipeline.stopAccepting();
     expect(pipeline.add("c")).to.deep.equal([]);
     expect(pipeline.closeAll()).to.deep.equal(["a", "b"]);
     expect(pipeline.size).to.equal(0);
   });
 });
 
+/** Ends one of the running requests; returns the exchanges to start. */
 function endOne(
   pipeline: Pipeline<number>,
   running: Set<number>,
-  at: number,
+  choice: number,
 ): readonly number[] {
-  const exchange = [...running][at % Math.max(1, running.size)];
+  const exchange = [...running][choice % Math.max(1, running.size)];
   if (exchange === undefined) {
     return [];
   }
