--- a/src/engine/relay/common/gate.ts
+++ b/src/engine/relay/common/gate.ts
@@ -31,8 +31,11 @@
   /** Number of requests that it can run at the same time. */
   readonly slots: number;
   readonly isDraining: boolean;
-  /** End of the slow phase after its start. */
-  readonly warmUpEndMs: number;
+  /**
+   * End of the slow phase after its start, in milliseconds by this node's steady
+   * clock. The name is part of the body of `GET /status`.
+   */
+  readonly warmUntilMs: number;
 }
 
 /** Input of the gate's reducer. */
--- a/src/engine/relay/test/entry_decision_test.ts
+++ b/src/engine/relay/test/entry_decision_test.ts
@@ -35,14 +35,14 @@
   });
 
   it("is never called refused where an earlier one may have run", () => {
-    const ran = { handedOver: 1, mayHaveRun: true };
+    const ran = { handoverCount: 1, mayHaveRun: true };
     expect(decide({ ...ran, rerouteCount: 2 })).to.equal("FailUnknown");
     expect(decide({ ...ran, kind: "rejected", canRetry: false }))
       .to.equal("FailUnknown");
   });
 
   it("is refused if every backend server reported that it didn't run the call", () => {
-    const rejected = { kind: "rejected", handedOver: 2 } as const;
+    const rejected = { kind: "rejected", handoverCount: 2 } as const;
     expect(decide(rejected)).to.equal("Refuse");
     expect(decide({ ...rejected, handoverCount: 1, isIdempotent: false }))
       .to.equal("TryElsewhere budgeted");
--- a/src/engine/relay/test/gate_fakes.ts
+++ b/src/engine/relay/test/gate_fakes.ts
@@ -55,6 +55,6 @@
     dataCentre: "a",
     slots: 2,
     isDraining: false,
-    warmUpEndMs: 0,
+    warmUntilMs: 0,
   };
 }
--- a/src/engine/relay/test/gate_test.ts
+++ b/src/engine/relay/test/gate_test.ts
@@ -12,7 +12,7 @@
   dataCentre: "a",
   slots: 2,
   isDraining: false,
-  warmUpEndMs: 0,
+  warmUntilMs: 0,
 };
 
 function createCall(id: number, change: Partial<GateCall> = {}): GateCall {
--- a/src/engine/relay/test/idle_gate_test.ts
+++ b/src/engine/relay/test/idle_gate_test.ts
@@ -53,7 +53,7 @@
         dataCentre: "a",
         slots: SLOTS,
         isDraining: false,
-        warmUpEndMs: 0,
+        warmUntilMs: 0,
       },
     });
     while (this.#nowMs < END_MS) {
