--- a/src/engine/workspaces/common/key_access.ts
+++ b/src/engine/workspaces/common/key_access.ts
@@ -1,79 +1,88 @@
-/** Decides at the entry whether a request's key lets it in. */
+/** Decides at an entry node whether a request's key grants access. */
 import {
   acceptProof,
   askProof,
+  INITIAL_LEASE,
   isLeaseValid,
   isProvedSince,
-  NO_LEASE,
   observeClocks,
 } from "./key_lease.ts";
 import type { ClockReading, KeyLease } from "./key_lease.ts";
 import { buildKeyIndex } from "./workspace.ts";
 import type { KeyDigest, KeyIndex, Workspace } from "./workspace.ts";
 
-/** What becomes of a request that needs a key. */
+/** Result of checking the key of a request whose route requires one. */
 export type Access =
   | { readonly type: "Granted"; readonly workspace: Workspace }
-  /** No configuration in force has the key. */
+  /** The newest configuration, as proved since the request arrived, lacks the key. */
   | { readonly type: "UnknownKey" }
-  /** A proof to come may tell: there is none, or none since the key came. */
+  /**
+   * The next proof decides: none has been received yet, or none that was
+   * requested after the key arrived.
+   */
   | { readonly type: "Unsure" }
-  /** Whether the key still holds can't be known. */
+  /** The lease on the keys has expired: the key may have been revoked. */
   | { readonly type: "Lapsed" };
 
-/** What the decisions are made from. */
+/** Options of `KeyAccess`. */
 export interface KeyAccessOptions {
   /**
-   * How long keys are served after the last proof that the configuration is the
-   * newest one, in milliseconds; undefined: for ever.
+   * How long keys are served after the request of the last proof that the
+   * configuration is the newest one, in milliseconds; undefined for no limit.
    */
   readonly leaseMs: number | undefined;
   readonly readClocks: () => ClockReading;
   readonly computeDigest: (key: string) => KeyDigest;
 }
 
-/** Holds the keys in force and the lease on them. */
+/** The keys in force and the lease under which they are served. */
 export class KeyAccess {
   readonly #options: KeyAccessOptions;
   #index: KeyIndex = new Map();
-  #lease: KeyLease = NO_LEASE;
+  #lease: KeyLease = INITIAL_LEASE;
 
   constructor(options: KeyAccessOptions) {
     this.#options = options;
   }
 
-  /** Puts the workspaces of another configuration in force. */
+  /** Replaces the workspaces, and thereby the keys, that are in force. */
   replaceWorkspaces(workspaces: readonly Workspace[]): void {
     this.#index = buildKeyIndex(workspaces);
   }
 
-  /** Notes that a proof is asked for; its number goes with the question. */
+  /** Records that a proof is requested now; returns the number to send with it. */
   askProof(): number {
-    const now = this.#look();
-    const number = this.#lease.nextProof;
+    const now = this.#observeClocks();
+    const number = this.#lease.nextProofNumber;
     this.#lease = askProof(this.#lease, now);
     return number;
   }
 
-  /** Takes the proof that the configuration in force here is the newest. */
+  /** Accepts the proof that the configuration in force here is the newest one. */
   acceptProof(number: number): void {
-    this.#look();
+    this.#observeClocks();
     this.#lease = acceptProof(this.#lease, number);
   }
 
-  /** Looks at the clocks; to be called often. */
+  /**
+   * Compares the clocks, so that suspensions and clock steps are detected.
+   * Must be called at short intervals.
+   */
   tick(): void {
-    this.#look();
+    this.#observeClocks();
   }
 
-  /** Whether keys may be served now. */
+  /** Whether the lease allows keys to be served now. */
   get isValid(): boolean {
     const { leaseMs } = this.#options;
-    const now = this.#look();
+    const now = this.#observeClocks();
     return leaseMs === undefined || isLeaseValid(this.#lease, leaseMs, now);
   }
 
-  /** Decides on a key that came at a moment of the steady clock. */
+  /**
+   * Checks a key; `arrivedAtMs` is the steady clock's time at which the request
+   * arrived, in milliseconds.
+   */
   check(key: string | undefined, arrivedAtMs: number): Access {
     if (!this.isValid) {
       const hasProof = this.#lease.provedAt !== undefined;
@@ -90,7 +99,7 @@
       : { type: "Unsure" };
   }
 
-  #look(): ClockReading {
+  #observeClocks(): ClockReading {
     const now = this.#options.readClocks();
     this.#lease = observeClocks(this.#lease, now);
     return now;
--- a/src/engine/workspaces/common/key_lease.ts
+++ b/src/engine/workspaces/common/key_lease.ts
@@ -1,98 +1,109 @@
 /**
- * How long a node may go by the keys that it knows.
+ * The lease under which a node serves the keys of its configuration.
  *
- * A revoked key must run nothing from some time after the revocation was
- * acknowledged, also at nodes that are cut off, suspended or restarted. A node
- * therefore serves keys only while a proof holds that its configuration was the
- * newest one. A proof counts from the moment at which the node asked for it:
- * the replica reads from a quorum after that, so whatever was acknowledged
- * before is in it, and neither the replica's clock nor the way back matters.
+ * A fixed time after a revocation is acknowledged, requests with the revoked
+ * key must no longer run, even at nodes that are partitioned, suspended or
+ * restarted. A node therefore serves keys only while it has a valid proof that
+ * its configuration is the newest one. A proof is valid from the time at which
+ * the node requested it: the control replica reads from a quorum after that, so
+ * the read includes every change acknowledged before, and neither the replica's
+ * clock nor the delay of the answer matters.
  *
- * Proof: let a request be sent at `s`, checked here at `t` >= `s`, and let the
- * last proof have been asked for at `p`. It passes only if `t - p` is below the
- * lease. If its key was revoked by a change that this node doesn't hold, that
- * change was acknowledged after `p`; so `s` is within the lease of the
- * acknowledgement. Nothing needs to be checked again once a request has passed.
+ * Correctness: let a request be sent at `s` and checked here at `t` >= `s`, and
+ * let the last proof have been requested at `p`. The request passes only if
+ * `t - p` is below the lease. If its key was revoked by a change that this node
+ * doesn't have, that change was acknowledged after `p`; so `s` is less than one
+ * lease after the acknowledgement. A request that has passed needs no further
+ * check.
  */
 
-/** Both clocks at one moment, in milliseconds. */
+/** Readings of both clocks at one time, in milliseconds. */
 export interface ClockReading {
-  /** Not moved by steps of the wall clock; stands still in a suspension. */
+  /** Monotonic clock: unaffected by wall clock steps, stops during a suspension. */
   readonly steadyMs: number;
-  /** Goes on in a suspension; may be stepped either way. */
+  /** Wall clock: continues during a suspension, may be stepped either way. */
   readonly wallMs: number;
 }
 
 /**
- * How far the clocks may part between two looks at them while the wall clock is
- * only slewed: 500 parts in a million over some seconds, and rounding.
+ * How far the clocks may diverge between two readings while the wall clock is
+ * only slewed: 500 parts per million over a few seconds, plus rounding.
  */
-const SLEW_MS = 20;
+const MAX_SLEW_MS = 20;
 
-/** Proofs that were asked for, and the newest one that came. */
+/** The proofs requested by a node, and the newest one received. */
 export interface KeyLease {
-  /** When each proof was asked for that may still come; oldest first. */
-  readonly asked: ReadonlyMap<number, ClockReading>;
-  readonly nextProof: number;
+  /** When each outstanding proof was requested, by its number; oldest first. */
+  readonly pendingProofs: ReadonlyMap<number, ClockReading>;
+  readonly nextProofNumber: number;
+  /** When the newest received proof was requested; undefined without a proof. */
   readonly provedAt: ClockReading | undefined;
-  /** When the clocks were looked at last. */
-  readonly lookedAt: ClockReading | undefined;
+  /** The last reading of the clocks; undefined before the first one. */
+  readonly observedAt: ClockReading | undefined;
 }
 
 /** A lease without any proof. */
-export const NO_LEASE: KeyLease = {
-  asked: new Map(),
-  nextProof: 1,
+export const INITIAL_LEASE: KeyLease = {
+  pendingProofs: new Map(),
+  nextProofNumber: 1,
   provedAt: undefined,
-  lookedAt: undefined,
+  observedAt: undefined,
 };
 
 /**
- * Looks at the clocks, often and before each use of the lease. Where they have
- * parted, the VM was suspended or the wall clock stepped: how long ago a proof
- * was asked for isn't known any more, and another one is needed. A suspension
- * that a step hides to within `SLEW_MS` between two looks is the one case that
- * stays unseen.
+ * Records a reading of the clocks. Must be called at short intervals and before
+ * each use of the lease. If the clocks have diverged since the last reading, the
+ * VM was suspended or the wall clock was stepped: the age of each proof is no
+ * longer known, and a new one is needed. The only case that remains undetected
+ * is a suspension that a step back compensates to within `MAX_SLEW_MS` between
+ * two readings.
  */
 export function observeClocks(lease: KeyLease, now: ClockReading): KeyLease {
-  const before = lease.lookedAt ?? now;
-  const partedMs = (now.wallMs - before.wallMs) -
+  const before = lease.observedAt ?? now;
+  const divergenceMs = (now.wallMs - before.wallMs) -
     (now.steadyMs - before.steadyMs);
-  const seen = { ...lease, lookedAt: now };
-  return Math.abs(partedMs) <= SLEW_MS
-    ? seen
-    : { ...seen, asked: new Map(), provedAt: undefined };
+  const observed = { ...lease, observedAt: now };
+  return Math.abs(divergenceMs) <= MAX_SLEW_MS
+    ? observed
+    : { ...observed, pendingProofs: new Map(), provedAt: undefined };
 }
 
-/** Questions that are remembered: those of some seconds. */
-const MAX_ASKED = 16;
+/** Limit of outstanding proofs that are tracked; covers a few seconds. */
+const MAX_PENDING_PROOFS = 16;
 
-/** Notes that a proof is asked for now, under the number `nextProof`. */
+/** Records that a proof is requested now, with the number `nextProofNumber`. */
 export function askProof(lease: KeyLease, now: ClockReading): KeyLease {
-  const asked = new Map(lease.asked).set(lease.nextProof, now);
-  for (const number of asked.keys()) {
-    if (asked.size > MAX_ASKED) {
-      asked.delete(number);
+  const pendingProofs = new Map(lease.pendingProofs).set(
+    lease.nextProofNumber,
+    now,
+  );
+  for (const number of pendingProofs.keys()) {
+    if (pendingProofs.size > MAX_PENDING_PROOFS) {
+      pendingProofs.delete(number);
     }
   }
-  return { ...lease, asked, nextProof: lease.nextProof + 1 };
+  return {
+    ...lease,
+    pendingProofs,
+    nextProofNumber: lease.nextProofNumber + 1,
+  };
 }
 
-/** Takes the proof of a number; those before it are not waited for any more. */
+/** Accepts the proof with a number, and stops waiting for earlier ones. */
 export function acceptProof(lease: KeyLease, number: number): KeyLease {
-  const provedAt = lease.asked.get(number);
+  const provedAt = lease.pendingProofs.get(number);
   if (provedAt === undefined) {
     return lease;
   }
-  const asked = new Map(
-    [...lease.asked].filter(([other]) => other > number),
+  const pendingProofs = new Map(
+    [...lease.pendingProofs].filter(([other]) => other > number),
   );
-  return { ...lease, asked, provedAt };
+  return { ...lease, pendingProofs, provedAt };
 }
 
 /**
- * Whether keys may be served for `validMs` after the last proof was asked for.
- * `now` was looked at with `observeClocks`.
+ * Whether keys may be served at `now`: less than `validMs` milliseconds after the
+ * newest proof was requested. `now` must have been passed to `observeClocks`.
  */
 export function isLeaseValid(
   lease: KeyLease,
@@ -104,8 +115,9 @@
 }
 
 /**
- * Whether the configuration held here was the newest one after a moment: only
- * then may a key be called unknown that came at that moment.
+ * Whether the configuration of this node was the newest one at some time after
+ * `steadyMs`. Only then may a key that arrived at `steadyMs` be refused as
+ * unknown.
  */
 export function isProvedSince(lease: KeyLease, steadyMs: number): boolean {
   return lease.provedAt !== undefined && lease.provedAt.steadyMs > steadyMs;
--- a/src/engine/workspaces/common/quota_gate.ts
+++ b/src/engine/workspaces/common/quota_gate.ts
@@ -1,4 +1,4 @@
-/** Lets the requests of a workspace in at one entry, within its limit. */
+/** Admits the requests of workspaces at one entry node, within their limits. */
 import { computeWindowLimit } from "./quota_shares.ts";
 import type {
   QuotaTerms,
@@ -8,84 +8,93 @@
 import { USAGE_MS, UsageWindow } from "./usage_window.ts";
 import type { Workspace } from "./workspace.ts";
 
-/** What becomes of a request under its workspace's limit. */
+/** Result of checking a request against the limit of its workspace. */
 export type QuotaDecision =
   | { readonly type: "LetIn" }
-  /** Control will say how much is asked for in all. */
+  /** The shares, which depend on the total demand, haven't been received yet. */
   | { readonly type: "Unsure" }
   | {
     readonly type: "OverLimit";
-    /** When there is room again. */
+    /** Expected time until the limit allows more requests, in milliseconds. */
     readonly retryAfterMs: number;
-    /** Part of the requests that are let in now. */
+    /** Share of the workspace's requests that is admitted now, 0 to 1. */
     readonly share: number;
   };
 
-/** What the gate is built from. */
+/** Options of `QuotaGate`. */
 export interface QuotaGateOptions {
-  /** Undefined where limits are not kept. */
+  /** Undefined if limits are not enforced. */
   readonly terms: QuotaTerms | undefined;
-  /** From 0 to 1. */
+  /** Returns a random number from 0 to 1. */
   readonly draw: () => number;
 }
 
-/** A refused caller comes back after this much at the soonest. */
+/** Minimum time after which a refused caller is asked to retry. */
 const MIN_RETRY_MS = 500;
 /**
- * Until control has said how much is asked for, all entries together let in
- * this part of what is allowed beyond the limit at once, and the limit itself
- * as time goes on: they may just have let in a whole window.
+ * Until the shares are received, all entry nodes together admit this part of
+ * the allowance beyond the limit at once, and the limit itself at its rate over
+ * time: before a restart they may have admitted a whole window of requests.
  */
-const FIRST_PART = 0.6;
+const INITIAL_ALLOWANCE_RATIO = 0.6;
 
-/** Reports after which what control told is old: it tells with each. */
-const OLD_REPORTS = 3;
-/** Part of an old share that is let in: nobody corrects a window that is full. */
-const OLD_PART = 0.8;
+/**
+ * Number of reports after which received shares count as stale: control replicas
+ * send new ones about once for each report.
+ */
+const MAX_SHARE_AGE_REPORTS = 3;
+/**
+ * Factor applied to a stale share: without updates the share isn't corrected
+ * when a window is full.
+ */
+const STALE_SHARE_RATIO = 0.8;
 
-/** What an entry lets in before it knows the share of a workspace. */
-interface FirstCredit {
+/** Requests that an entry node may admit before it knows the share of a workspace. */
+interface InitialCredit {
   credit: number;
-  /** Added with each report. */
-  readonly perReport: number;
+  /** Requests added to the credit with each report. */
+  readonly creditPerReport: number;
 }
 
-/** Decides by the shares that control last told. */
+/** Admits requests by the shares last received from a control replica. */
 export class QuotaGate {
   readonly #options: QuotaGateOptions;
   readonly #window: UsageWindow;
-  /** Parts of a request that may be let in next; by workspace. */
+  /** Accumulated fraction of the next request to admit, by workspace. */
   readonly #credits = new Map<string, number>();
-  readonly #first = new Map<string, FirstCredit>();
+  readonly #initialCredits = new Map<string, InitialCredit>();
   #shares: ReadonlyMap<string, number> | undefined;
-  #entries = 1;
-  /** Reports since control told the shares. */
-  #reports = 0;
+  #entryCount = 1;
+  /** Number of reports created since shares were last received. */
+  #reportsSinceShares = 0;
 
   constructor(options: QuotaGateOptions) {
     this.#options = options;
     this.#window = new UsageWindow(options.terms?.windowMs ?? 1);
   }
 
-  /** The shares below 1 that were told last. */
+  /** The shares below 1 that were last received. */
   get shares(): readonly WorkspaceShare[] {
     return [...this.#shares ?? []];
   }
 
-  /** Takes the shares below 1, and how many entries there are in all. */
+  /**
+   * Replaces the shares below 1, unless undefined, and the total number of entry
+   * nodes.
+   */
   replaceShares(
     shares: readonly WorkspaceShare[] | undefined,
     entries: number,
   ): void {
-    this.#entries = Math.max(1, entries);
+    this.#entryCount = Math.max(1, entries);
     if (shares !== undefined) {
       this.#shares = new Map(shares);
-      this.#reports = 0;
-      this.#first.clear();
+      this.#reportsSinceShares = 0;
+      this.#initialCredits.clear();
     }
   }
 
-  /** Decides on a request that came with a key of a workspace. */
+  /** Decides whether to admit a request with a key of a workspace. */
   decide(workspace: Workspace): QuotaDecision {
     const { terms } = this.#options;
     const limit = terms === undefined
@@ -97,9 +106,9 @@
     const { name } = workspace;
     const share = this.#getShare(name);
     const isLetIn = share === undefined
-      ? this.#takeFirst(name, limit, terms)
-      : share === 1 || this.#takeCredit(name, share);
-    this.#window.note(name, isLetIn);
+      ? this.#spendInitialCredit(name, limit, terms)
+      : share === 1 || this.#spendCredit(name, share);
+    this.#window.record(name, isLetIn);
     if (isLetIn) {
       return { type: "LetIn" };
     }
@@ -110,7 +119,7 @@
     return { type: "OverLimit", share, retryAfterMs };
   }
 
-  /** A request that was let in has run nowhere. */
+  /** Records that an admitted request was not run by any backend server. */
   giveBack(workspace: Workspace): void {
     const { terms } = this.#options;
     if (
@@ -120,50 +129,62 @@
     }
   }
 
-  /** Lists what control adds up, and moves the window on. */
+  /**
+   * Creates the usage report that control replicas add up, and advances the
+   * window by one interval.
+   */
   takeReport(): readonly WorkspaceUsage[] {
     const usages = this.#window.list();
     this.#window.advance();
-    this.#reports += 1;
-    for (const first of this.#first.values()) {
-      first.credit += first.perReport;
+    this.#reportsSinceShares += 1;
+    for (const initial of this.#initialCredits.values()) {
+      initial.credit += initial.creditPerReport;
     }
     return usages;
   }
 
-  /** Undefined before control has told any. */
+  /** Returns the share to admit; undefined before any shares were received. */
   #getShare(name: string): number | undefined {
     if (this.#shares === undefined) {
       return undefined;
     }
     const share = this.#shares.get(name) ?? 1;
-    return share < 1 && this.#reports > OLD_REPORTS ? share * OLD_PART : share;
+    return share < 1 && this.#reportsSinceShares > MAX_SHARE_AGE_REPORTS
+      ? share * STALE_SHARE_RATIO
+      : share;
   }
 
-  /** Lets each share of the requests in, evenly; entries begin apart. */
-  #takeCredit(name: string, share: number): boolean {
+  /**
+   * Admits the given share of the requests at even intervals. The initial credit
+   * is random, so that entry nodes don't admit in step.
+   */
+  #spendCredit(name: string, share: number): boolean {
     const credit = (this.#credits.get(name) ?? this.#options.draw()) + share;
     const isLetIn = credit >= 1;
     this.#credits.set(name, isLetIn ? credit - 1 : credit);
     return isLetIn;
   }
 
-  /** An entry that was started knows nothing of what the others let in. */
-  #takeFirst(name: string, limit: number, terms: QuotaTerms): boolean {
-    const first = this.#first.get(name) ?? this.#createFirst(limit, terms);
-    this.#first.set(name, first);
-    const isLetIn = first.credit >= 1;
-    first.credit -= isLetIn ? 1 : 0;
+  /**
+   * Admits requests from the initial credit: an entry node that has just started
+   * doesn't know how many requests the others admit.
+   */
+  #spendInitialCredit(name: string, limit: number, terms: QuotaTerms): boolean {
+    const initial = this.#initialCredits.get(name) ??
+      this.#createInitialCredit(limit, terms);
+    this.#initialCredits.set(name, initial);
+    const isLetIn = initial.credit >= 1;
+    initial.credit -= isLetIn ? 1 : 0;
     return isLetIn;
   }
 
-  #createFirst(limit: number, terms: QuotaTerms): FirstCredit {
-    const beyond = terms.overage * limit + terms.slack;
-    const atOnce = FIRST_PART * beyond / this.#entries;
-    const reports = terms.windowMs / USAGE_MS;
+  #createInitialCredit(limit: number, terms: QuotaTerms): InitialCredit {
+    const allowance = terms.overage * limit + terms.slack;
+    const atOnce = INITIAL_ALLOWANCE_RATIO * allowance / this.#entryCount;
+    const reportsPerWindow = terms.windowMs / USAGE_MS;
     return {
       credit: Math.floor(atOnce + this.#options.draw()),
-      perReport: limit / reports / this.#entries,
+      creditPerReport: limit / reportsPerWindow / this.#entryCount,
     };
   }
 }
--- a/src/engine/workspaces/common/quota_shares.ts
+++ b/src/engine/workspaces/common/quota_shares.ts
@@ -1,61 +1,71 @@
 /**
- * Which share of a workspace's requests is let in while it asks for more than
- * its limit.
+ * Computes the share of a workspace's requests that is admitted while its demand
+ * exceeds its limit.
  *
- * Load pattern: tens of requests a second to fractions of one, spread over
- * hundreds of entries, so that most entries see less than one in a window. A
- * fixed part of the limit for each entry would refuse most of what is far below
- * the limit. Here each entry says what it was asked for and let in; control
- * adds up, and answers with the one share that all entries let in. Below the
- * limit the share is 1, and nothing is refused.
+ * Load pattern: from fractions of a request to tens of requests per second,
+ * spread over hundreds of entry nodes, so that most entry nodes receive less than
+ * one request per window. A fixed targetRatio of the limit for each entry node would
+ * refuse most requests of a workspace that is far below its limit. Instead, each
+ * entry node reports its received and admitted requests; the control replicas
+ * add the reports up and answer with one share that all entry nodes apply. Below
+ * the limit the share is 1, and nothing is refused.
  */
 import type { Workspace } from "./workspace.ts";
 
-/** How strictly limits are kept. */
+/** How strictly the limits of workspaces are enforced. */
 export interface QuotaTerms {
-  /** Span over which a limit is counted, in milliseconds. */
+  /** Length of the sliding window to which a limit applies, in milliseconds. */
   readonly windowMs: number;
-  /** What may be let in beyond it, as a part of it. */
+  /** Requests that may be admitted beyond the limit, as a ratio of the limit. */
   readonly overage: number;
-  /** What may be let in beyond both, in requests a window. */
+  /** Requests per window that may be admitted beyond the limit and `overage`. */
   readonly slack: number;
 }
 
-/** Requests of a workspace at one entry, or at several. */
+/** Requests of a workspace at one entry node, or at several. */
 export interface WorkspaceUsage {
   readonly name: string;
-  /** Asked for in a window, or in the mean of two: one may be low by chance. */
+  /**
+   * Requests received per window: the higher of the last window and the mean of
+   * the last two, as a single window may be low by chance.
+   */
   readonly asked: number;
-  /** Asked for within `LATELY_MS`. */
+  /** Requests received within the last `RECENT_SPAN_MS`. */
   readonly askedLately: number;
-  /** Let in within the window, whatever became of it. */
+  /** Requests admitted within the window, whether or not they were run. */
   readonly passed: number;
-  /** Let in within the window, without those that ran nowhere. */
+  /** Requests admitted within the window, without those that were not run. */
   readonly letIn: number;
 }
 
-/** What each entry lets in of a workspace's requests, from 0 to 1. */
+/** Share of a workspace's requests that each entry node admits, from 0 to 1. */
 export type WorkspaceShare = readonly [name: string, share: number];
 
-/** Span over which demand is measured, in milliseconds. */
-export const LATELY_MS = 2_000;
+/** Span over which the current demand is measured. */
+export const RECENT_SPAN_MS = 2_000;
 /**
- * Demand that is above the limit by less than this, in a window that is not
- * full, may be chance.
+ * Recent demand up to this multiple of the target is attributed to chance while
+ * the window itself is below the target.
  */
-const CHANCE_FACTOR = 1.4;
-/** Part of what is allowed beyond the limit that is aimed at: counts are late. */
-const AIMED_PART = 0.2;
-/** How much harder a window is cut that has had more than its due. */
-const OVERRUN_WEIGHT = 3;
-/** How much faster one is filled that has had less. */
-const UNDERRUN_WEIGHT = 0.1;
-/** Part of the demand of two windows that is still expected in a calm moment. */
-const STEADY_PART = 0.75;
-/** Least that is let in of the aim while a window is cut. */
-const LEAST_PART = 0.3;
+const CHANCE_DEMAND_RATIO = 1.4;
+/**
+ * Part of the allowance beyond the limit that is targeted; the rest absorbs the
+ * delay of the reported counts.
+ */
+const TARGET_ALLOWANCE_RATIO = 0.2;
+/** Proportional gain by which the share is reduced in a window above its target. */
+const OVERRUN_GAIN = 3;
+/** Proportional gain by which the share is raised in a window below its target. */
+const UNDERRUN_GAIN = 0.1;
+/**
+ * Minimum of the estimated demand relative to `asked`: a quiet moment doesn't
+ * lower the estimate further.
+ */
+const MIN_DEMAND_RATIO = 0.75;
+/** Minimum targetRatio of the target that is admitted while the share is reduced. */
+const MIN_TARGET_RATIO = 0.3;
 
-/** Computes how many requests a window may hold; Infinity without a limit. */
+/** Computes the limit of a window in requests; Infinity without a limit. */
 export function computeWindowLimit(
   { ratePerSecond, burst }: Workspace,
   terms: QuotaTerms,
@@ -65,30 +75,35 @@
     : ratePerSecond * terms.windowMs / 1_000 + burst;
 }
 
-/** Computes the share of a workspace from what all entries say together. */
+/** Computes the share of a workspace from the summed usage of all entry nodes. */
 export function computeShare(
   limit: number,
   usage: Omit<WorkspaceUsage, "name">,
   terms: QuotaTerms,
 ): number {
-  const aim = limit + AIMED_PART * (terms.overage * limit + terms.slack);
+  const target = limit +
+    TARGET_ALLOWANCE_RATIO * (terms.overage * limit + terms.slack);
   const { letIn } = usage;
-  // What is refused for another reason runs nowhere, and takes no room here.
-  const ran = usage.passed === 0 ? 1 : Math.min(1, letIn / usage.passed);
-  const asked = usage.asked * ran;
-  const askedAWindow = usage.askedLately * ran * terms.windowMs / LATELY_MS;
-  if (asked <= aim && askedAWindow <= aim * CHANCE_FACTOR && letIn <= aim) {
+  // Requests refused for another reason aren't run, and don't count as demand.
+  const runRatio = usage.passed === 0 ? 1 : Math.min(1, letIn / usage.passed);
+  const asked = usage.asked * runRatio;
+  const recentPerWindow = usage.askedLately * runRatio * terms.windowMs /
+    RECENT_SPAN_MS;
+  if (
+    asked <= target && recentPerWindow <= target * CHANCE_DEMAND_RATIO &&
+    letIn <= target
+  ) {
     return 1;
   }
-  const used = letIn / aim;
-  const part = used > 1
-    ? Math.max(LEAST_PART, 1 - OVERRUN_WEIGHT * (used - 1))
-    : 1 + UNDERRUN_WEIGHT * (1 - used);
-  const demand = Math.max(askedAWindow, asked * STEADY_PART);
-  return Math.min(1, aim * part / Math.max(1, demand));
+  const utilization = letIn / target;
+  const targetRatio = utilization > 1
+    ? Math.max(MIN_TARGET_RATIO, 1 - OVERRUN_GAIN * (utilization - 1))
+    : 1 + UNDERRUN_GAIN * (1 - utilization);
+  const demand = Math.max(recentPerWindow, asked * MIN_DEMAND_RATIO);
+  return Math.min(1, target * targetRatio / Math.max(1, demand));
 }
 
-/** Adds up what several entries, or replicas, say. */
+/** Adds up the usage reported by several entry nodes or replicas, by workspace. */
 export function addUsages(
   lists: Iterable<readonly WorkspaceUsage[]>,
 ): ReadonlyMap<string, WorkspaceUsage> {
@@ -108,7 +123,7 @@
   return sums;
 }
 
-/** Lists the workspaces of which not all is let in. */
+/** Lists the shares below 1, rounded to three decimals. */
 export function listShares(
   workspaces: readonly Workspace[],
   usages: ReadonlyMap<string, WorkspaceUsage>,
--- a/src/engine/workspaces/common/usage_window.ts
+++ b/src/engine/workspaces/common/usage_window.ts
@@ -1,86 +1,90 @@
-/** Counts what the requests of each workspace come to at one entry. */
-import { LATELY_MS } from "./quota_shares.ts";
+/** Counts the requests of each workspace at one entry node. */
+import { RECENT_SPAN_MS } from "./quota_shares.ts";
 import type { WorkspaceUsage } from "./quota_shares.ts";
 
-interface Slot {
+/** Requests within one interval; see `WorkspaceUsage` for the fields. */
+interface Bucket {
   asked: number;
   passed: number;
   letIn: number;
 }
 
-/** How often the window moves on, and is reported. */
+/** Interval at which the window advances and is reported; length of a bucket. */
 export const USAGE_MS = 500;
-const LATE_SLOTS = LATELY_MS / USAGE_MS;
-/** One slot alone says too little to scale it up. */
-const LEAST_SLOTS = 2;
+const RECENT_BUCKETS = RECENT_SPAN_MS / USAGE_MS;
+/** A single bucket is too small a sample to be scaled up. */
+const MIN_ELAPSED_BUCKETS = 2;
 
-/** A sliding window of each workspace that asked for something within it. */
+/** A sliding window of requests for each workspace that had any within it. */
 export class UsageWindow {
-  readonly #slots: number;
-  /** By workspace, the present slot first. */
-  readonly #counts = new Map<string, Slot[]>();
-  /** Slots since the start: demand of a part of a span is scaled up. */
-  #elapsed = 1;
+  readonly #windowBuckets: number;
+  /** By workspace, the current bucket first; up to two windows. */
+  readonly #bucketsByWorkspace = new Map<string, Bucket[]>();
+  /**
+   * Number of buckets since the start. Until it covers `RECENT_SPAN_MS`, the
+   * recent demand is scaled up.
+   */
+  #elapsedBuckets = 1;
 
   constructor(windowMs: number) {
-    this.#slots = Math.ceil(windowMs / USAGE_MS);
+    this.#windowBuckets = Math.ceil(windowMs / USAGE_MS);
   }
 
-  /** Notes a request, and whether it was let in. */
-  note(workspace: string, isLetIn: boolean): void {
-    const slot = this.#getSlot(workspace);
-    slot.asked += 1;
-    slot.passed += isLetIn ? 1 : 0;
-    slot.letIn += isLetIn ? 1 : 0;
+  /** Records a request, and whether it was admitted. */
+  record(workspace: string, isLetIn: boolean): void {
+    const bucket = this.#getCurrentBucket(workspace);
+    bucket.asked += 1;
+    bucket.passed += isLetIn ? 1 : 0;
+    bucket.letIn += isLetIn ? 1 : 0;
   }
 
-  /** A request that was let in has run nowhere. */
+  /** Records that an admitted request was not run by any backend server. */
   giveBack(workspace: string): void {
-    const slot = this.#getSlot(workspace);
-    slot.letIn -= 1;
+    const bucket = this.#getCurrentBucket(workspace);
+    bucket.letIn -= 1;
   }
 
-  /** Lists all that is in the window. */
+  /** Lists the usage within the window, by workspace. */
   list(): readonly WorkspaceUsage[] {
-    const elapsed = Math.max(LEAST_SLOTS, this.#elapsed);
-    const lateScale = LATE_SLOTS / Math.min(elapsed, LATE_SLOTS);
-    return [...this.#counts].map(([name, slots]) => ({
+    const elapsed = Math.max(MIN_ELAPSED_BUCKETS, this.#elapsedBuckets);
+    const recentScale = RECENT_BUCKETS / Math.min(elapsed, RECENT_BUCKETS);
+    return [...this.#bucketsByWorkspace].map(([name, buckets]) => ({
       name,
       asked: Math.max(
-        countAsked(slots.slice(0, this.#slots)),
-        countAsked(slots) / 2,
+        countAsked(buckets.slice(0, this.#windowBuckets)),
+        countAsked(buckets) / 2,
       ),
-      askedLately: countAsked(slots.slice(0, LATE_SLOTS)) * lateScale,
-      passed: slots.slice(0, this.#slots)
+      askedLately: countAsked(buckets.slice(0, RECENT_BUCKETS)) * recentScale,
+      passed: buckets.slice(0, this.#windowBuckets)
         .reduce((sum, { passed }) => sum + passed, 0),
       letIn: Math.max(
         0,
-        slots.slice(0, this.#slots)
+        buckets.slice(0, this.#windowBuckets)
           .reduce((sum, { letIn }) => sum + letIn, 0),
       ),
     }));
   }
 
-  /** Moves on by `USAGE_MS`; what has asked for nothing is forgotten. */
+  /** Advances by `USAGE_INTERVAL_MS`; removes workspaces without requests. */
   advance(): void {
-    this.#elapsed += 1;
-    for (const [name, slots] of this.#counts) {
-      slots.unshift({ asked: 0, passed: 0, letIn: 0 });
-      slots.length = Math.min(slots.length, 2 * this.#slots);
-      if (slots.every(({ asked, letIn }) => asked === 0 && letIn === 0)) {
-        this.#counts.delete(name);
+    this.#elapsedBuckets += 1;
+    for (const [name, buckets] of this.#bucketsByWorkspace) {
+      buckets.unshift({ asked: 0, passed: 0, letIn: 0 });
+      buckets.length = Math.min(buckets.length, 2 * this.#windowBuckets);
+      if (buckets.every(({ asked, letIn }) => asked === 0 && letIn === 0)) {
+        this.#bucketsByWorkspace.delete(name);
       }
     }
   }
 
-  #getSlot(workspace: string): Slot {
-    const slots = this.#counts.get(workspace) ??
+  #getCurrentBucket(workspace: string): Bucket {
+    const buckets = this.#bucketsByWorkspace.get(workspace) ??
       [{ asked: 0, passed: 0, letIn: 0 }];
-    this.#counts.set(workspace, slots);
-    return slots[0]!;
+    this.#bucketsByWorkspace.set(workspace, buckets);
+    return buckets[0]!;
   }
 }
 
-function countAsked(slots: readonly Slot[]): number {
-  return slots.reduce((sum, { asked }) => sum + asked, 0);
+function countAsked(buckets: readonly Bucket[]): number {
+  return buckets.reduce((sum, { asked }) => sum + asked, 0);
 }
--- a/src/engine/workspaces/common/workspace.ts
+++ b/src/engine/workspaces/common/workspace.ts
@@ -1,49 +1,52 @@
-/** Workspaces: whose requests a key tells apart, with their rank and limits. */
+/** Workspaces: tenants identified by keys, with their rank and limits. */
 
 /**
- * What a key is recognised by. The digest goes to nodes and into what they
- * hold; the key itself stays in the operator's document.
+ * Hash by which a key is recognised. Only the digest is sent to nodes and stored
+ * by them; the key itself stays in the operator's document.
  */
 export type KeyDigest = string;
 
-/** One workspace, as operators define it. */
+/** A workspace as defined by operators. */
 export interface Workspace {
   readonly name: string;
   readonly keyDigests: readonly KeyDigest[];
-  /** Goes before the ranks of routes; 0 is the most urgent. */
+  /**
+   * Rank of its requests, which takes precedence over the ranks of routes; 0 is
+   * the maxRank urgent. Undefined if only the routes' ranks apply.
+   */
   readonly rank: number | undefined;
-  /** Requests a second over all nodes; 0: no limit. */
+  /** Requests per second over all nodes; no limit if this and `burst` are 0. */
   readonly ratePerSecond: number;
-  /** Requests that may come at once beyond the rate. */
+  /** Requests that may exceed the rate in a window. */
   readonly burst: number;
 }
 
-/** Describes the first fault of some workspaces, or undefined without one. */
+/** Describes the first error in a list of workspaces; undefined without one. */
 export function checkWorkspaces(
   workspaces: readonly Workspace[],
 ): string | undefined {
   const names = new Set<string>();
-  const holders = new Map<KeyDigest, string>();
+  const workspaceByDigest = new Map<KeyDigest, string>();
   for (const { name, keyDigests } of workspaces) {
     if (names.has(name)) {
       return `Workspace ${name} is defined twice`;
     }
     names.add(name);
     for (const digest of keyDigests) {
-      const holder = holders.get(digest) ?? name;
-      if (holder !== name) {
-        return `Workspaces ${holder} and ${name} have a key in common`;
+      const other = workspaceByDigest.get(digest) ?? name;
+      if (other !== name) {
+        return `Workspaces ${other} and ${name} have a key in common`;
       }
-      holders.set(digest, name);
+      workspaceByDigest.set(digest, name);
     }
   }
   return undefined;
 }
 
-/** Finds the workspace of a key by its digest. */
+/** Workspaces by the digests of their keys. */
 export type KeyIndex = ReadonlyMap<KeyDigest, Workspace>;
 
-/** Builds the index of some workspaces; once for each configuration. */
+/** Builds the index of a configuration's workspaces. */
 export function buildKeyIndex(workspaces: readonly Workspace[]): KeyIndex {
   return new Map(
     workspaces.flatMap((workspace) =>
@@ -52,15 +55,15 @@
   );
 }
 
-/** Counts the ranks from 0 to the least urgent one that is in use. */
+/** Counts the ranks from 0 to the least urgent one in use. */
 export function countRanks(ranks: readonly number[]): number {
-  return 1 + ranks.reduce((most, rank) => Math.max(most, rank), 0);
+  return 1 + ranks.reduce((maxRank, rank) => Math.max(maxRank, rank), 0);
 }
 
 /**
- * Joins the rank of a workspace with that of a route: the workspace's goes
- * first, and among equal ones the route's decides. `routeRanks` is how many
- * ranks the routes have.
+ * Combines the rank of a workspace with that of a route: the workspace's takes
+ * precedence, and the route's decides among equal ones. `routeRanks` is the
+ * number of ranks that the routes use.
  */
 export function joinRanks(
   routeRanks: number,
--- a/src/engine/workspaces/common/workspace_check.ts
+++ b/src/engine/workspaces/common/workspace_check.ts
@@ -1,38 +1,41 @@
-/** Checks a request against the keys and the limits of workspaces, at once. */
+/** Checks a request against the keys and limits of workspaces. */
 import type { KeyAccess } from "./key_access.ts";
 import type { QuotaGate } from "./quota_gate.ts";
 import type { Workspace } from "./workspace.ts";
 
-/** Why a request that needs a key doesn't go on. */
+/** Why a request that requires a key is refused. */
 export type EntryRefusal =
-  /** No configuration in force has its key. */
+  /** The newest configuration lacks its key. */
   | { readonly type: "UnknownKey" }
-  /** Its workspace asks for more than its limit. */
+  /** The demand of its workspace exceeds the limit. */
   | {
     readonly type: "OverLimit";
     readonly workspace: string;
-    /** Part of the workspace's requests that goes on. */
+    /** Share of the workspace's requests that is admitted, 0 to 1. */
     readonly share: number;
     readonly retryAfterMs: number;
   }
-  /** Whether its key still holds can't be known here. */
+  /** The lease on the keys has expired: the key may have been revoked. */
   | { readonly type: "LeaseLapsed"; readonly retryAfterMs: number };
 
-/** What becomes of a request that needs a key. */
+/** Result of checking a request that requires a key. */
 export type EntryCheck =
   | { readonly type: "Entered"; readonly workspace: Workspace }
-  /** Control has yet to say; the request is to be checked again then. */
+  /**
+   * A proof or the shares have yet to be received from a control replica; the
+   * request must be checked again then.
+   */
   | { readonly type: "Waiting"; readonly reason: string }
   | { readonly type: "Refused"; readonly refusal: EntryRefusal };
 
-/** When callers come back to a node that can't know which keys hold. */
-const LAPSED_RETRY_MS = 500;
-const LAPSED: EntryCheck = {
+/** Time after which callers retry at a node whose lease on keys has expired. */
+const LEASE_RETRY_MS = 500;
+const LEASE_LAPSED: EntryCheck = {
   type: "Refused",
-  refusal: { type: "LeaseLapsed", retryAfterMs: LAPSED_RETRY_MS },
+  refusal: { type: "LeaseLapsed", retryAfterMs: LEASE_RETRY_MS },
 };
 
-/** Decides in the order of what a caller is to hear first: key, then limit. */
+/** Checks the key first, then the limit, so that the caller gets the first cause. */
 export class WorkspaceCheck {
   readonly #access: KeyAccess;
   readonly #quotas: QuotaGate;
@@ -42,7 +45,10 @@
     this.#quotas = quotas;
   }
 
-  /** Checks a request by its head, as it came at a moment of the steady clock. */
+  /**
+   * Checks a request by its head; `arrivedAtMs` is the steady clock's time at
+   * which it arrived, in milliseconds.
+   */
   check(key: string | undefined, arrivedAtMs: number): EntryCheck {
     const access = this.#access.check(key, arrivedAtMs);
     switch (access.type) {
@@ -53,19 +59,19 @@
       case "Unsure":
         return { type: "Waiting", reason: "keys not proved" };
       case "Lapsed":
-        return LAPSED;
+        return LEASE_LAPSED;
     }
   }
 
   /**
-   * Checks again once the body is whole: it may have taken longer than the
-   * lease that its head came under.
+   * Checks the lease again once the body is complete: receiving it may have taken
+   * longer than the lease under which the head was checked.
    */
   checkWhole(workspace: Workspace): EntryCheck {
-    return this.#access.isValid ? { type: "Entered", workspace } : LAPSED;
+    return this.#access.isValid ? { type: "Entered", workspace } : LEASE_LAPSED;
   }
 
-  /** A request that had entered has run nowhere. */
+  /** Records that an admitted request was not run by any backend server. */
   giveBack(workspace: Workspace): void {
     this.#quotas.giveBack(workspace);
   }
--- a/src/engine/workspaces/node/key_digest.ts
+++ b/src/engine/workspaces/node/key_digest.ts
@@ -1,11 +1,14 @@
-/** Digests of keys: what nodes compare, so that no key is kept or compared. */
+/** Digests of API keys: nodes store and compare these instead of the keys. */
 import { hash } from "node:crypto";
 import type { KeyDigest } from "../common/workspace.ts";
 
-/** Half of a SHA-256 tells keys apart, and halves what is pushed to nodes. */
+/**
+ * Half of a SHA-256 hash is enough to distinguish keys, and halves the data
+ * that is pushed to nodes.
+ */
 const DIGEST_BYTES = 16;
 
-/** Computes the digest of a key. */
+/** Computes the digest of a key: truncated SHA-256 in base64url. */
 export function computeKeyDigest(key: string): KeyDigest {
   return hash("sha256", key, "buffer")
     .subarray(0, DIGEST_BYTES).toString("base64url");
--- a/src/engine/workspaces/test/key_lease_test.ts
+++ b/src/engine/workspaces/test/key_lease_test.ts
@@ -1,4 +1,4 @@
-/** Keys and leases: what is granted, and when nothing can be known. */
+/** Keys and leases: which keys are granted, and when a lease isn't valid. */
 import { expect } from "chai";
 import { KeyAccess } from "../common/key_access.ts";
 import type { ClockReading } from "../common/key_lease.ts";
@@ -26,8 +26,8 @@
 class Clocks {
   reading: ClockReading = { steadyMs: 1_000, wallMs: 5_000 };
 
-  /** Both go on. */
-  pass(ms: number): void {
+  /** Advances both clocks. */
+  advance(ms: number): void {
     this.suspend(ms);
     this.reading = {
       ...this.reading,
@@ -35,7 +35,7 @@
     };
   }
 
-  /** Only the wall clock goes on. */
+  /** Advances the wall clock only. */
   suspend(ms: number): void {
     this.reading = { ...this.reading, wallMs: this.reading.wallMs + ms };
   }
@@ -68,23 +68,23 @@
     const { clocks, prove, check } = createAccess();
     expect(check()).to.equal("Unsure");
     prove();
-    clocks.pass(LEASE_MS - 1);
+    clocks.advance(LEASE_MS - 1);
     expect(check()).to.equal("Granted");
-    clocks.pass(1);
+    clocks.advance(1);
     expect(check()).to.equal("Lapsed");
     prove();
     expect(check()).to.equal("Granted");
   });
 
-  it("counts from the question, not from the proof's arrival", () => {
+  it("is leased from the request of the proof, not from its arrival", () => {
     const { access, clocks, check } = createAccess();
     const number = access.askProof();
-    clocks.pass(LEASE_MS);
+    clocks.advance(LEASE_MS);
     access.acceptProof(number);
     expect(check()).to.equal("Lapsed");
   });
 
-  it("is not served on after a suspension, however short the steady clock", () => {
+  it("is not served after a suspension, which the steady clock doesn't count", () => {
     const { clocks, prove, check } = createAccess();
     prove();
     clocks.suspend(60_000);
@@ -93,7 +93,7 @@
     expect(check()).to.equal("Granted");
   });
 
-  it("is not served on where a step back hides part of a suspension", () => {
+  it("is not served where a step back hides part of a suspension", () => {
     const { access, clocks, prove, check } = createAccess();
     prove();
     clocks.suspend(6_000);
@@ -102,23 +102,23 @@
     expect(check()).to.equal("Unsure");
   });
 
-  it("is served for ever where the lease has no end", () => {
+  it("is served without limit where the lease has no end", () => {
     const { clocks, check } = createAccess({ leaseMs: undefined });
-    clocks.pass(3_600_000);
+    clocks.advance(3_600_000);
     expect(check()).to.equal("Granted");
   });
 
   it("is unknown only by a proof that was asked for after it came", () => {
     const { clocks, prove, check } = createAccess();
     prove();
-    clocks.pass(50);
+    clocks.advance(50);
     expect(check("other", 10)).to.equal("Unsure");
     prove();
     expect(check("other", 10)).to.equal("UnknownKey");
     expect(check(null, 10)).to.equal("UnknownKey");
   });
 
-  it("has one holder", () => {
+  it("belongs to one workspace only", () => {
     const twice = [createWorkspace("a", [KEY]), createWorkspace("b", [KEY])];
     expect(checkWorkspaces(twice)).to.contain("key in common")
       .and.not.to.contain(KEY);
@@ -132,7 +132,7 @@
 });
 
 describe("the rank of a workspace", () => {
-  it("goes before the route's, which decides among equal ones", () => {
+  it("takes precedence over the route's, which decides among equal ones", () => {
     const first = createWorkspace("first", [], 0);
     const second = createWorkspace("second", [], 1);
     const ranks = [first, second].flatMap((workspace) =>
--- a/src/engine/workspaces/test/quota_simulation.ts
+++ b/src/engine/workspaces/test/quota_simulation.ts
@@ -1,4 +1,7 @@
-/** Entries, control and callers of one workspace, for the ways to keep a limit. */
+/**
+ * Simulates entry nodes, control replicas and callers of one workspace, to compare
+ * policies that enforce its limit.
+ */
 import { createRandom } from "../../../base/test/seeded_random.ts";
 import type { Random } from "../../../base/test/seeded_random.ts";
 import { QuotaGate } from "../common/quota_gate.ts";
@@ -11,37 +14,37 @@
 import { USAGE_MS } from "../common/usage_window.ts";
 import type { Workspace } from "../common/workspace.ts";
 
-/** As the newest deployment keeps them. */
+/** The terms of the newest deployment. */
 export const TERMS: QuotaTerms = { windowMs: 5_000, overage: 0.1, slack: 20 };
 
-/** What is played. */
+/** The load and faults of a simulation. */
 export interface QuotaScenario {
   readonly entries: number;
-  /** Entries that the workspace's callers come to. */
+  /** Number of entry nodes that receive the workspace's requests. */
   readonly usedEntries: number;
   readonly ratePerSecond: number;
-  /** Requests a second over all entries, as a part of the rate. */
+  /** Requests per second over all entry nodes, relative to the rate. */
   readonly demand: (atMs: number) => number;
-  /** Whether control is dark, and starts from nothing afterwards. */
-  readonly isDark?: (atMs: number) => boolean;
-  /** Whether entries start from nothing at a moment. */
+  /** Whether the control replicas are down; they lose their state meanwhile. */
+  readonly isControlDown?: (atMs: number) => boolean;
+  /** When the entry nodes restart without state; undefined for never. */
   readonly restartsAtMs?: number;
   readonly lengthMs?: number;
   readonly seed?: number;
 }
 
-/** What came of it. */
-export interface QuotaFigures {
-  /** Most that a window held, as a part of what it may hold at the most. */
+/** Result of a simulation. */
+export interface QuotaResult {
+  /** Requests admitted in the fullest window, relative to the allowed maximum. */
   readonly worstWindow: number;
-  /** Part of the requests that were refused while less than the limit came. */
+  /** Share of the requests refused while the demand was below the limit. */
   readonly wronglyRefused: number;
-  /** Part of the requests that were let in. */
+  /** Share of the requests that were admitted. */
   readonly letIn: number;
 }
 
-/** How the entries decide. */
-export interface QuotaWay {
+/** A policy by which the entry nodes admit requests. */
+export interface QuotaPolicy {
   readonly decide: (entry: number) => boolean;
   /** Called each `STEP_MS`. */
   readonly step: (atMs: number) => void;
@@ -50,13 +53,13 @@
 
 const STEP_MS = 50;
 const LENGTH_MS = 30_000;
-/** Control learns for so long after a start. */
-const LEARNING_MS = 2_500;
-/** From a report to what is told of it: two replicas and their periods. */
-const LATE_MS = 750;
+/** Time after a start during which control replicas send no shares. */
+const WARM_UP_MS = 2_500;
+/** Delay from a report to the share based on it: the periods of two replicas. */
+const SHARE_DELAY_MS = 750;
 
-/** The way that stands: one share for all, from what all entries said. */
-export function createShareWay(scenario: QuotaScenario): QuotaWay {
+/** Creates the implemented policy: one share, from the reports of all entry nodes. */
+export function createSharedPolicy(scenario: QuotaScenario): QuotaPolicy {
   const random = createRandom(scenario.seed ?? 1);
   const workspace = createWorkspace(scenario);
   const createGates = () =>
@@ -70,7 +73,7 @@
     readonly atMs: number;
     readonly usages: readonly WorkspaceUsage[];
   }[] = [];
-  let upSinceMs = -LEARNING_MS;
+  let upSinceMs = -WARM_UP_MS;
   return {
     decide: (entry) => gates[entry]!.decide(workspace).type === "LetIn",
     restart: () => {
@@ -84,27 +87,32 @@
         return;
       }
       const reports = gates.map((gate) => gate.takeReport());
-      if (scenario.isDark?.(atMs) === true) {
+      if (scenario.isControlDown?.(atMs) === true) {
         known = [];
         upSinceMs = Infinity;
         return;
       }
       upSinceMs = Math.min(upSinceMs, atMs);
       known.push({ atMs, usages: [...addUsages(reports).values()] });
-      const told = known.findLast((one) => one.atMs <= atMs - LATE_MS);
-      if (told !== undefined && atMs - upSinceMs >= LEARNING_MS) {
-        const shares = listShares([workspace], addUsages([told.usages]), TERMS);
+      const latest = known.findLast((one) => one.atMs <= atMs - SHARE_DELAY_MS);
+      if (latest !== undefined && atMs - upSinceMs >= WARM_UP_MS) {
+        const shares = listShares(
+          [workspace],
+          addUsages([latest.usages]),
+          TERMS,
+        );
         gates.forEach((gate) => gate.replaceShares(shares, scenario.entries));
       }
     },
   };
 }
 
-/** Another way: each entry has an even part of the limit, and no more. */
-export function createFixedWay(scenario: QuotaScenario): QuotaWay {
+/** Creates the alternative policy: each entry node has an equal part of the limit. */
+export function createFixedPolicy(scenario: QuotaScenario): QuotaPolicy {
   const limit = computeWindowLimit(createWorkspace(scenario), TERMS);
-  const most = (limit * (1 + TERMS.overage) + TERMS.slack) / scenario.entries;
-  const perStep = most * STEP_MS / TERMS.windowMs;
+  const maxTokens = (limit * (1 + TERMS.overage) + TERMS.slack) /
+    scenario.entries;
+  const perStep = maxTokens * STEP_MS / TERMS.windowMs;
   const tokens = new Array<number>(scenario.entries).fill(1);
   return {
     decide: (entry) => {
@@ -115,50 +123,50 @@
     restart: () => tokens.fill(1),
     step: () => {
       tokens.forEach((token, entry) => {
-        tokens[entry] = Math.min(Math.max(1, most), token + perStep);
+        tokens[entry] = Math.min(Math.max(1, maxTokens), token + perStep);
       });
     },
   };
 }
 
-/** Plays a scenario. */
-export function playQuota(
+/** Simulates a scenario under a policy. */
+export function simulateQuota(
   scenario: QuotaScenario,
-  way: QuotaWay,
-): QuotaFigures {
+  policy: QuotaPolicy,
+): QuotaResult {
   const random = createRandom((scenario.seed ?? 1) + 1_000);
   const { lengthMs = LENGTH_MS, ratePerSecond } = scenario;
   const limit = computeWindowLimit(createWorkspace(scenario), TERMS);
   const asked: number[] = [];
   const letIn: number[] = [];
-  let all = 0;
-  let wrong = 0;
-  let worst = 0;
+  let total = 0;
+  let wronglyRefused = 0;
+  let worstWindow = 0;
   for (let atMs = 0; atMs < lengthMs; atMs += STEP_MS) {
     if (atMs === scenario.restartsAtMs) {
-      way.restart();
+      policy.restart();
     }
-    way.step(atMs);
+    policy.step(atMs);
     const mean = ratePerSecond * scenario.demand(atMs) * STEP_MS / 1_000;
     const count = drawPoisson(mean, random);
-    let through = 0;
+    let admitted = 0;
     for (let at = 0; at < count; at += 1) {
       const entry = Math.floor(random() * scenario.usedEntries);
-      through += way.decide(entry) ? 1 : 0;
+      admitted += policy.decide(entry) ? 1 : 0;
     }
     asked.push(count);
-    letIn.push(through);
-    all += count;
+    letIn.push(admitted);
+    total += count;
     const steps = TERMS.windowMs / STEP_MS;
     const askedInWindow = sum(asked.slice(-steps));
-    const mayHold = limit * (1 + TERMS.overage) + TERMS.slack;
-    worst = Math.max(worst, sum(letIn.slice(-steps)) / mayHold);
-    wrong += askedInWindow <= limit ? count - through : 0;
+    const maxAdmitted = limit * (1 + TERMS.overage) + TERMS.slack;
+    worstWindow = Math.max(worstWindow, sum(letIn.slice(-steps)) / maxAdmitted);
+    wronglyRefused += askedInWindow <= limit ? count - admitted : 0;
   }
   return {
-    worstWindow: worst,
-    wronglyRefused: wrong / Math.max(1, all),
-    letIn: sum(letIn) / Math.max(1, all),
+    worstWindow,
+    wronglyRefused: wronglyRefused / Math.max(1, total),
+    letIn: sum(letIn) / Math.max(1, total),
   };
 }
 
@@ -177,10 +185,10 @@
 }
 
 function drawPoisson(mean: number, random: Random): number {
-  const least = Math.exp(-mean);
+  const threshold = Math.exp(-mean);
   let product = random();
   let count = 0;
-  while (product > least) {
+  while (product > threshold) {
     product *= random();
     count += 1;
   }
--- a/src/engine/workspaces/test/quota_test.ts
+++ b/src/engine/workspaces/test/quota_test.ts
@@ -1,13 +1,13 @@
-/** Limits of workspaces: shares from what all entries say, under load. */
+/** Limits of workspaces: shares from the reports of all entry nodes, under load. */
 import { expect } from "chai";
 import { QuotaGate } from "../common/quota_gate.ts";
 import { computeShare } from "../common/quota_shares.ts";
 import { UsageWindow } from "../common/usage_window.ts";
 import type { Workspace } from "../common/workspace.ts";
 import {
-  createFixedWay,
-  createShareWay,
-  playQuota,
+  createFixedPolicy,
+  createSharedPolicy,
+  simulateQuota,
   TERMS,
 } from "./quota_simulation.ts";
 import type { QuotaScenario } from "./quota_simulation.ts";
@@ -15,10 +15,10 @@
 const ENTRIES = [78, 300];
 const RATES = [1, 12, 272];
 const SEEDS = [1, 2, 3];
-/** What a window may hold is never passed. */
-const ALL = 1;
-/** So much of what is below the limit may be refused by chance. */
-const CHANCE = 0.01;
+/** The fullest window relative to the allowed maximum: never above it. */
+const MAX_WINDOW_RATIO = 1;
+/** Share of the requests below the limit that may be refused by chance. */
+const MAX_WRONGLY_REFUSED = 0.01;
 
 const WORKSPACE: Workspace = {
   name: "mill",
@@ -28,9 +28,9 @@
   burst: 10,
 };
 
-/** Each rate at each size, with three seeds. */
+/** Lists a scenario for each combination of fleet size, rate and seed. */
 function listScenarios(
-  part: Pick<QuotaScenario, "demand"> & Partial<QuotaScenario>,
+  scenario: Pick<QuotaScenario, "demand"> & Partial<QuotaScenario>,
 ): readonly QuotaScenario[] {
   return ENTRIES.flatMap((entries) =>
     RATES.flatMap((ratePerSecond) =>
@@ -39,7 +39,7 @@
         usedEntries: entries,
         ratePerSecond,
         seed,
-        ...part,
+        ...scenario,
       }))
     )
   );
@@ -52,75 +52,88 @@
 
 describe("the limit of a workspace", () => {
   it("refuses nothing of what is usual, nor in a burst of 1.7", () => {
-    // Limits are 1.6 times what is asked for on the mean.
+    // Limits are 1.6 times the mean demand.
     const demand = (atMs: number) =>
       (atMs > 10_000 && atMs < 20_000 ? 1.7 : 1) / 1.6;
     for (const scenario of listScenarios({ demand })) {
-      const { wronglyRefused } = playQuota(scenario, createShareWay(scenario));
-      expect(wronglyRefused, describeScenario(scenario)).to.be.below(CHANCE);
+      const { wronglyRefused } = simulateQuota(
+        scenario,
+        createSharedPolicy(scenario),
+      );
+      expect(wronglyRefused, describeScenario(scenario)).to.be.below(
+        MAX_WRONGLY_REFUSED,
+      );
     }
   });
 
   it("holds where eight times as much is asked for", () => {
     for (const scenario of listScenarios({ demand: () => 8 })) {
       const settled = { ...scenario, restartsAtMs: 0 };
-      const figures = playQuota(settled, createShareWay(settled));
+      const figures = simulateQuota(settled, createSharedPolicy(settled));
       expect(figures.worstWindow, describeScenario(scenario))
-        .to.be.at.most(ALL);
+        .to.be.at.most(MAX_WINDOW_RATIO);
     }
   });
 
-  it("holds where all entries and control start again under that", () => {
-    const isDark = (atMs: number) => atMs > 15_000 && atMs < 16_500;
-    const faults = { demand: () => 8, restartsAtMs: 15_000, isDark };
+  it("holds where all entry nodes and control replicas restart under that load", () => {
+    const isControlDown = (atMs: number) => atMs > 15_000 && atMs < 16_500;
+    const faults = { demand: () => 8, restartsAtMs: 15_000, isControlDown };
     for (const scenario of listScenarios(faults)) {
       const settled = { ...scenario, lengthMs: 25_000 };
-      const way = createShareWay(settled);
-      way.restart();
-      const figures = playQuota(settled, way);
+      const policy = createSharedPolicy(settled);
+      policy.restart();
+      const figures = simulateQuota(settled, policy);
       expect(figures.worstWindow, describeScenario(scenario))
-        .to.be.at.most(ALL);
+        .to.be.at.most(MAX_WINDOW_RATIO);
     }
   });
 
-  it("holds while control is dark, by what was told before", () => {
-    const isDark = (atMs: number) => atMs > 15_000 && atMs < 20_000;
-    for (const scenario of listScenarios({ demand: () => 4, isDark })) {
-      const way = createShareWay(scenario);
-      way.restart();
-      const figures = playQuota(scenario, way);
+  it("holds by the last received shares while the control replicas are down", () => {
+    const isControlDown = (atMs: number) => atMs > 15_000 && atMs < 20_000;
+    for (
+      const scenario of listScenarios({
+        demand: () => 4,
+        isControlDown,
+      })
+    ) {
+      const policy = createSharedPolicy(scenario);
+      policy.restart();
+      const figures = simulateQuota(scenario, policy);
       expect(figures.worstWindow, describeScenario(scenario))
-        .to.be.at.most(ALL);
+        .to.be.at.most(MAX_WINDOW_RATIO);
     }
   });
 
-  // Guards against entries that let all of a jump in until control has answered.
+  // Guards against entry nodes that admit everything until the shares arrive.
   it("holds where demand jumps from below it to eight times at once", () => {
     const demand = (atMs: number) => atMs < 12_000 ? 0.5 : 8;
     const worst = listScenarios({ demand }).map((scenario) => {
-      const { worstWindow } = playQuota(scenario, createShareWay(scenario));
+      const { worstWindow } = simulateQuota(
+        scenario,
+        createSharedPolicy(scenario),
+      );
       return { scenario: describeScenario(scenario), worstWindow };
     });
-    expect(worst.filter(({ worstWindow }) => worstWindow > ALL))
+    expect(worst.filter(({ worstWindow }) => worstWindow > MAX_WINDOW_RATIO))
       .to.deep.equal([]);
   });
 
-  it("would starve small workspaces in fixed parts, which is why it isn't in them", () => {
+  it("would starve small workspaces if it were divided among the entry nodes", () => {
     const scenario: QuotaScenario = {
       entries: 78,
       usedEntries: 3,
       ratePerSecond: 12,
       demand: () => 1 / 1.6,
     };
-    const fixed = playQuota(scenario, createFixedWay(scenario));
-    const shared = playQuota(scenario, createShareWay(scenario));
+    const fixed = simulateQuota(scenario, createFixedPolicy(scenario));
+    const shared = simulateQuota(scenario, createSharedPolicy(scenario));
     expect(fixed.wronglyRefused).to.be.above(0.5);
     expect(shared.wronglyRefused).to.equal(0);
   });
 });
 
 describe("a share", () => {
-  it("is whole below the limit", () => {
+  it("is 1 below the limit", () => {
     expect(
       computeShare(
         60,
@@ -131,7 +144,7 @@
       .to.equal(1);
   });
 
-  it("is what the limit is of the demand, once a window is full", () => {
+  it("is the ratio of the limit to the demand once a window is full", () => {
     const share = computeShare(
       60,
       { asked: 480, askedLately: 192, passed: 67, letIn: 67 },
@@ -140,12 +153,12 @@
     expect(share).to.be.within(59 / 480, 72 / 480);
   });
 
-  it("is whole where most of what is let in is refused for other reasons", () => {
+  it("is 1 where most admitted requests are refused for other reasons", () => {
     const usage = { asked: 480, askedLately: 192, passed: 480, letIn: 40 };
     expect(computeShare(60, usage, TERMS)).to.equal(1);
   });
 
-  it("is cut while a window has had more than its due", () => {
+  it("is reduced while a window holds more than its limit", () => {
     const even = computeShare(
       60,
       { asked: 480, askedLately: 192, passed: 67, letIn: 67 },
@@ -161,7 +174,7 @@
 });
 
 describe("the gate of a workspace", () => {
-  it("counts what ran nowhere as not let in", () => {
+  it("doesn't count admitted requests that were not run", () => {
     const gate = new QuotaGate({ terms: TERMS, draw: () => 0.5 });
     gate.replaceShares([], 1);
     gate.decide(WORKSPACE);
@@ -177,7 +190,7 @@
       }]);
   });
 
-  it("lets each share in evenly, and says when there is room", () => {
+  it("admits a share at even intervals, and reports when to retry", () => {
     const gate = new QuotaGate({ terms: TERMS, draw: () => 0 });
     gate.replaceShares([["mill", 0.25]], 1);
     const decisions = Array.from({ length: 8 }, () => gate.decide(WORKSPACE));
@@ -193,15 +206,15 @@
   it("has no limit where the operator sets none", () => {
     const gate = new QuotaGate({ terms: TERMS, draw: () => 0 });
     gate.replaceShares([["mill", 0]], 1);
-    const open = { ...WORKSPACE, ratePerSecond: 0, burst: 0 };
-    expect(gate.decide(open).type).to.equal("LetIn");
-    gate.giveBack(open);
+    const unlimited = { ...WORKSPACE, ratePerSecond: 0, burst: 0 };
+    expect(gate.decide(unlimited).type).to.equal("LetIn");
+    gate.giveBack(unlimited);
     expect(gate.takeReport()).to.deep.equal([]);
   });
 
-  it("forgets a workspace that asks for nothing any more", () => {
+  it("removes a workspace that has no requests any more", () => {
     const window = new UsageWindow(1_000);
-    window.note("mill", true);
+    window.record("mill", true);
     window.advance();
     expect(window.list()).to.have.length(1);
     Array.from({ length: 4 }).forEach(() => window.advance());
