--- a/src/engine/control/common/control_report.ts
+++ b/src/engine/control/common/control_report.ts
@@ -67,7 +67,7 @@
   const latest = new Map<string, ReplicaReport>();
   for (const [name, owner] of state.membership.owners) {
     const id = readReplicaId(name);
-    const lastHeardMs = nowMs - owner.heardMs;
+    const lastHeardMs = nowMs - owner.lastReceivedAtMs;
     if (lastHeardMs < (latest.get(id)?.lastHeardMs ?? Infinity)) {
       const { tableVersion } = owner;
       const isSilent = lastHeardMs > REPORT_SILENCE_MS;
--- a/src/engine/membership/common/announcement.ts
+++ b/src/engine/membership/common/announcement.ts
@@ -1,40 +1,44 @@
-/** What a node says of itself and its backend server. */
+/** Announcements: how a node describes itself and its backend server. */
 
-/** One node's announcement; later sequences replace earlier ones. */
+/** A node's announcement; replaced by one with a higher incarnation or sequence. */
 export interface Announcement {
   readonly nodeId: string;
-  /** Set at each start of the process, in milliseconds; higher is newer. */
+  /**
+   * Identifies the process instance: the wall clock at its start, in
+   * milliseconds; higher is newer.
+   */
   readonly incarnation: number;
-  /** Counts the changes within one incarnation. */
+  /** Number of changes within the incarnation. */
   readonly sequence: number;
   readonly service: string;
   readonly dataCentre: string;
   readonly region: string;
   readonly vm: string;
-  /** `host:port` where other nodes send calls. */
+  /** `host:port` at which the node receives calls of other nodes. */
   readonly ingress: string;
   /** `host:port` of the operators' listener. */
   readonly operator: string;
-  /** Requests that the backend server runs at a time. */
+  /** Maximum number of requests that the backend server runs concurrently. */
   readonly slots: number;
-  /** Connections that the backend server takes. */
+  /** Maximum number of connections that the backend server accepts. */
   readonly connections: number;
-  /** Whether it takes no new work. */
+  /** Whether the node accepts no new work. */
   readonly isDraining: boolean;
 }
 
 /**
- * Returns the incarnation that a process goes on with, where others hold a
- * newer one of its node: its clock stood ahead when the former process began,
- * and what it says now would count as old. Undefined where there is none.
+ * Returns the incarnation that a process must switch to because other processes
+ * know a newer one of its node, or undefined if none is newer. That happens if
+ * the wall clock was ahead when the previous process instance started; without
+ * the switch the announcements of this instance would be rejected as outdated.
  */
 export function renewIncarnation(
   own: Announcement,
-  heard: readonly Announcement[],
+  received: readonly Announcement[],
 ): number | undefined {
-  const newest = heard
+  const newest = received
     .filter(({ nodeId }) => nodeId === own.nodeId)
-    .reduce((most, { incarnation }) => Math.max(most, incarnation), 0);
+    .reduce((highest, { incarnation }) => Math.max(highest, incarnation), 0);
   return newest > own.incarnation ? newest + 1 : undefined;
 }
 
--- a/src/engine/membership/common/member_index.ts
+++ b/src/engine/membership/common/member_index.ts
@@ -1,19 +1,21 @@
-/** Members by service, kept beside the map of all members. */
+/** Index of the members by service, maintained along with the map of all members. */
 import type { Announcement } from "./announcement.ts";
 
-/** Announcements by node id, by service; no service is empty. */
+/** Announcements by service, then by node id; contains no empty service. */
 export type MemberIndex = ReadonlyMap<
   string,
   ReadonlyMap<string, Announcement>
 >;
 
-/** A member that came or changed, or one that went. */
+/** A member that was added or changed, or one that was removed. */
 export interface IndexChange {
+  /** Undefined for a member that was added. */
   readonly before: Announcement | undefined;
+  /** Undefined for a member that was removed. */
   readonly after: Announcement | undefined;
 }
 
-/** Applies changes in order; copies each service that they touch once. */
+/** Applies changes in order; copies the map of each affected service once. */
 export function updateIndex(
   index: MemberIndex,
   changes: readonly IndexChange[],
@@ -24,9 +26,9 @@
   const next = new Map(index);
   const copies = new Map<string, Map<string, Announcement>>();
   const copyService = (service: string) => {
-    const known = copies.get(service);
-    if (known !== undefined) {
-      return known;
+    const existing = copies.get(service);
+    if (existing !== undefined) {
+      return existing;
     }
     const copy = new Map(index.get(service));
     copies.set(service, copy);
--- a/src/engine/membership/common/membership_reducer.ts
+++ b/src/engine/membership/common/membership_reducer.ts
@@ -1,4 +1,7 @@
-/** Presence of the nodes: leases of those heard here, and the exchange. */
+/**
+ * Reducer of the presence of nodes: leases of the nodes linked to this replica,
+ * and the exchange with the other replicas.
+ */
 import {
   appendEffects,
   chainReduction,
@@ -6,10 +9,14 @@
 } from "../../../base/common/reduction.ts";
 import { setEntry } from "../../../base/common/maps.ts";
 import type { Announcement } from "./announcement.ts";
-import { DIGEST_MS, LEASE_MS, PAUSE_MS } from "./membership_state.ts";
-import type { DirectNode, MembershipState } from "./membership_state.ts";
+import {
+  DIGEST_INTERVAL_MS,
+  LEASE_MS,
+  MAX_TICK_GAP_MS,
+} from "./membership_state.ts";
+import type { LinkedNode, MembershipState } from "./membership_state.ts";
 import { createDigest, expireOwners, receivePresence } from "./presence.ts";
-import { changeOwned, isNewerPresence } from "./presence.ts";
+import { isNewerPresence, updateOwnedNodes } from "./presence.ts";
 import type { MembershipEffect, MembershipStep } from "./presence.ts";
 import type {
   Presence,
@@ -17,7 +24,7 @@
   PresenceMessage,
 } from "./presence_messages.ts";
 
-/** What happens to presence. */
+/** An event that changes presence. */
 export type MembershipEvent =
   | {
     readonly type: "NodeAnnounced";
@@ -36,10 +43,10 @@
     readonly channel: PresenceChannel;
     readonly message: PresenceMessage;
   }
-  /** `tableVersion` is the one in force at this replica. */
+  /** `tableVersion` is the version of the table in force at this replica. */
   | { readonly type: "Ticked"; readonly tableVersion: number };
 
-/** Steps the presence of the nodes. */
+/** Applies an event; `nowMs` is the wall clock in milliseconds. */
 export function reduceMembership(
   state: MembershipState,
   event: MembershipEvent,
@@ -51,7 +58,7 @@
     case "NodeHeartbeatReceived":
       return createReduction(renewLease(state, event, nowMs));
     case "NodeLeft":
-      return dropDirect(state, [event.nodeId]);
+      return removeLinkedNodes(state, [event.nodeId]);
     case "PresenceReceived":
       return receivePresence(state, event, nowMs);
     case "Ticked":
@@ -59,7 +66,10 @@
   }
 }
 
-/** An older link's announcement, arriving late, changes nothing. */
+/**
+ * Accepts an announcement. One that is not newer, such as a late one of an older
+ * link, only renews the lease.
+ */
 function acceptAnnouncement(
   state: MembershipState,
   event: Extract<MembershipEvent, { type: "NodeAnnounced" }>,
@@ -69,16 +79,16 @@
   const { nodeId } = announcement;
   const presence: Presence = { announcement, linkNumber };
   if (!isNewerPresence(presence, state.members.get(nodeId))) {
-    const heard = { nodeId, tableVersion };
-    return createReduction(renewLease(state, heard, nowMs));
+    const heartbeat = { nodeId, tableVersion };
+    return createReduction(renewLease(state, heartbeat, nowMs));
   }
   const change = { owner: state.self, put: [presence], removed: [] };
-  const step = changeOwned(state, change);
-  const node: DirectNode = { heardMs: nowMs, tableVersion };
+  const step = updateOwnedNodes(state, change);
+  const node: LinkedNode = { lastReceivedAtMs: nowMs, tableVersion };
   const next: MembershipState = {
     ...step.state,
     sequence: state.sequence + 1,
-    direct: setEntry(state.direct, nodeId, node),
+    linkedNodes: setEntry(state.linkedNodes, nodeId, node),
   };
   const delta: MembershipEffect = {
     type: "SendPresence",
@@ -96,15 +106,15 @@
 
 function renewLease(
   state: MembershipState,
-  heard: { readonly nodeId: string; readonly tableVersion: number },
+  heartbeat: { readonly nodeId: string; readonly tableVersion: number },
   nowMs: number,
 ): MembershipState {
-  const { nodeId, tableVersion } = heard;
-  if (!state.direct.has(nodeId)) {
+  const { nodeId, tableVersion } = heartbeat;
+  if (!state.linkedNodes.has(nodeId)) {
     return state;
   }
-  const node: DirectNode = { heardMs: nowMs, tableVersion };
-  return { ...state, direct: setEntry(state.direct, nodeId, node) };
+  const node: LinkedNode = { lastReceivedAtMs: nowMs, tableVersion };
+  return { ...state, linkedNodes: setEntry(state.linkedNodes, nodeId, node) };
 }
 
 function tick(
@@ -112,30 +122,36 @@
   tableVersion: number,
   nowMs: number,
 ): MembershipStep {
-  const isPaused = Math.abs(nowMs - state.lastTickMs) > PAUSE_MS;
-  const awake = isPaused ? resetLeases(state, nowMs) : state;
-  const silent = [...awake.direct]
-    .filter(([, node]) => nowMs - node.heardMs > LEASE_MS)
+  const isPaused = Math.abs(nowMs - state.lastTickAtMs) > MAX_TICK_GAP_MS;
+  const current = isPaused ? renewAllLeases(state, nowMs) : state;
+  const silent = [...current.linkedNodes]
+    .filter(([, node]) => nowMs - node.lastReceivedAtMs > LEASE_MS)
     .map(([nodeId]) => nodeId);
-  const step = dropDirect({ ...awake, lastTickMs: nowMs }, silent);
+  const step = removeLinkedNodes({ ...current, lastTickAtMs: nowMs }, silent);
   return chainReduction(
     chainReduction(step, (s) => expireOwners(s, nowMs)),
     (s) => sendDigest(s, tableVersion, nowMs),
   );
 }
 
-/** This process stood still or its clock jumped: nobody else was silent. */
-function resetLeases(state: MembershipState, nowMs: number): MembershipState {
-  const direct = [...state.direct].map(([nodeId, node]) =>
-    [nodeId, { ...node, heardMs: nowMs }] as const
+/**
+ * Renews all leases after a suspension of this process or a step of its clock,
+ * which would otherwise make every other process appear silent.
+ */
+function renewAllLeases(
+  state: MembershipState,
+  nowMs: number,
+): MembershipState {
+  const linkedNodes = [...state.linkedNodes].map(([nodeId, node]) =>
+    [nodeId, { ...node, lastReceivedAtMs: nowMs }] as const
   );
   const owners = [...state.owners].map(([name, owner]) =>
-    [name, { ...owner, heardMs: nowMs }] as const
+    [name, { ...owner, lastReceivedAtMs: nowMs }] as const
   );
   return {
     ...state,
-    lastDigestMs: nowMs - DIGEST_MS,
-    direct: new Map(direct),
+    lastDigestAtMs: nowMs - DIGEST_INTERVAL_MS,
+    linkedNodes: new Map(linkedNodes),
     owners: new Map(owners),
   };
 }
@@ -145,29 +161,32 @@
   tableVersion: number,
   nowMs: number,
 ): MembershipStep {
-  if (nowMs - state.lastDigestMs < DIGEST_MS) {
+  if (nowMs - state.lastDigestAtMs < DIGEST_INTERVAL_MS) {
     return createReduction(state);
   }
-  const next = { ...state, lastDigestMs: nowMs, beat: state.beat + 1 };
+  const next = { ...state, lastDigestAtMs: nowMs, beat: state.beat + 1 };
   const message = createDigest(next, tableVersion, nowMs);
   return createReduction(next, [{ type: "SendPresence", message }]);
 }
 
-/** Removes nodes that are heard here and tells the other replicas. */
-function dropDirect(
+/** Removes nodes that are linked to this replica, and notifies the other replicas. */
+function removeLinkedNodes(
   state: MembershipState,
   nodeIds: readonly string[],
 ): MembershipStep {
-  const removed = nodeIds.filter((nodeId) => state.direct.has(nodeId));
+  const removed = nodeIds.filter((nodeId) => state.linkedNodes.has(nodeId));
   if (removed.length === 0) {
     return createReduction(state);
   }
-  const direct = new Map(state.direct);
-  removed.forEach((nodeId) => direct.delete(nodeId));
+  const linkedNodes = new Map(state.linkedNodes);
+  removed.forEach((nodeId) => linkedNodes.delete(nodeId));
   const sequence = state.sequence + 1;
   const { self: owner, sequence: fromSequence } = state;
   const change = { owner, put: [], removed };
-  const step = changeOwned({ ...state, sequence, direct }, change);
+  const step = updateOwnedNodes(
+    { ...state, sequence, linkedNodes },
+    change,
+  );
   return appendEffects(step, {
     type: "SendPresence",
     message: { type: "PresenceDelta", ...change, fromSequence, sequence },
--- a/src/engine/membership/common/membership_state.ts
+++ b/src/engine/membership/common/membership_state.ts
@@ -1,62 +1,78 @@
-/** Presence as one control replica holds it. */
+/** The state of presence at one control replica. */
 import type { Announcement } from "./announcement.ts";
 import type { MemberIndex } from "./member_index.ts";
 import type { Presence } from "./presence_messages.ts";
 
-/** A node whose lease runs, and the replica that hears it. */
+/** A node of a service, as long as its lease is valid. */
 export interface Member extends Presence {
+  /** Process instance of the replica to which the node is linked. */
   readonly owner: string;
 }
 
-/** A node that this replica hears itself. */
-export interface DirectNode {
-  /** Wall clock in milliseconds. */
-  readonly heardMs: number;
-  /** Version that the node confirmed to be in force. */
+/** A node that is linked to this replica. */
+export interface LinkedNode {
+  /** When the node's last message was received; wall clock in milliseconds. */
+  readonly lastReceivedAtMs: number;
+  /** Version of the table that the node confirmed to be in force. */
   readonly tableVersion: number;
 }
 
-/** Another replica, in one run of its process. */
+/**
+ * Another replica's process instance, which owns the nodes linked to it: only it
+ * renews their leases and publishes their changes.
+ */
 export interface Owner {
+  /** Highest heartbeat number received of the owner, see `OwnerDigest.beat`. */
   readonly beat: number;
-  /** What this replica has of its nodes; `UNKNOWN_SEQUENCE` is nothing. */
+  /**
+   * Sequence of the owner's changes up to which this replica knows its nodes;
+   * `UNKNOWN_SEQUENCE` if their list must be fetched.
+   */
   readonly sequence: number;
-  readonly heardMs: number;
+  /** When a sign of life was last received; wall clock in milliseconds. */
+  readonly lastReceivedAtMs: number;
+  /** Version of the table confirmed by each of its nodes not in `behind`. */
   readonly tableVersion: number;
+  /** Versions confirmed by the other nodes, by node id. */
   readonly behind: ReadonlyMap<string, number>;
 }
 
-/** Members by node id, and what renews their leases. */
+/** Members, and the leases of nodes and replicas. */
 export interface MembershipState {
-  /** This replica in this run: its id and its start. */
+  /** This replica's process instance: `id@start`, the start in milliseconds. */
   readonly self: string;
+  /** Wall clock in milliseconds, as are the other times. */
   readonly startedAtMs: number;
-  readonly lastTickMs: number;
-  readonly lastDigestMs: number;
+  readonly lastTickAtMs: number;
+  readonly lastDigestAtMs: number;
+  /** Number of digests that this process instance has sent. */
   readonly beat: number;
-  /** Counts the changes of the nodes that this replica hears. */
+  /** Number of changes of the nodes linked to this replica. */
   readonly sequence: number;
+  /** The nodes of all replicas, by node id. */
   readonly members: ReadonlyMap<string, Member>;
   /** The same members by service. */
   readonly index: MemberIndex;
-  readonly direct: ReadonlyMap<string, DirectNode>;
+  /** The nodes linked to this replica, by node id. */
+  readonly linkedNodes: ReadonlyMap<string, LinkedNode>;
+  /** The process instances of the other replicas, by name. */
   readonly owners: ReadonlyMap<string, Owner>;
 }
 
-/** How long a node, or a replica, counts after it was last heard. */
+/** How long a node or replica is considered alive after its last message. */
 export const LEASE_MS = 8_000;
-/** How often a replica tells the others that it lives. */
-export const DIGEST_MS = 1_000;
-/** After its start a replica doesn't take its lists for complete. */
+/** Interval at which a replica sends its digest to the others. */
+export const DIGEST_INTERVAL_MS = 1_000;
+/** Time after its start during which a replica's lists may be incomplete. */
 export const WARM_UP_MS = 15_000;
-/** A longer pause between ticks was this replica's own. */
-export const PAUSE_MS = 2_000;
-/** When a silent replica without nodes is no longer counted. */
-export const FORGET_OWNER_MS = 600_000;
-/** The nodes of an owner have to be fetched. */
+/** A longer gap between ticks is a suspension of this replica or a clock step. */
+export const MAX_TICK_GAP_MS = 2_000;
+/** Silence after which a replica's process instance is removed. */
+export const OWNER_RETENTION_MS = 600_000;
+/** Sequence of an owner whose list of nodes must be fetched. */
 export const UNKNOWN_SEQUENCE = -1;
 
-/** Creates the presence of a replica that starts at `nowMs`. */
+/** Creates the state of a replica that starts at `nowMs`, the wall clock. */
 export function createMembership(
   replicaId: string,
   nowMs: number,
@@ -64,18 +80,18 @@
   return {
     self: `${replicaId}@${nowMs}`,
     startedAtMs: nowMs,
-    lastTickMs: nowMs,
-    lastDigestMs: nowMs,
+    lastTickAtMs: nowMs,
+    lastDigestAtMs: nowMs,
     beat: 0,
     sequence: 0,
     members: new Map(),
     index: new Map(),
-    direct: new Map(),
+    linkedNodes: new Map(),
     owners: new Map(),
   };
 }
 
-/** Reads the replica's id out of the name of one of its runs. */
+/** Parses the replica id from the name of one of its process instances. */
 export function readReplicaId(owner: string): string {
   return owner.slice(0, owner.lastIndexOf("@"));
 }
@@ -88,28 +104,31 @@
   return [...state.index.get(service)?.values() ?? []];
 }
 
-/** Whether a node that isn't listed is no member. */
+/** Whether the lists are complete: a node that isn't listed is no member. */
 export function isComplete(state: MembershipState, nowMs: number): boolean {
   return nowMs - state.startedAtMs >= WARM_UP_MS;
 }
 
-/** Whether an owner was heard within its lease. */
-export function isOwnerHeard(owner: Owner, nowMs: number): boolean {
-  return nowMs - owner.heardMs <= LEASE_MS;
+/** Whether the lease of an owner is valid. */
+export function isOwnerAlive(owner: Owner, nowMs: number): boolean {
+  return nowMs - owner.lastReceivedAtMs <= LEASE_MS;
 }
 
-/** A node's version and silence, as far as this replica knows. */
+/** A node's confirmed version and silence, as known to this replica. */
 export interface MemberReport {
   readonly announcement: Announcement;
-  /** Id and start of the replica that hears the node. */
+  /** Process instance of the replica to which the node is linked. */
   readonly owner: string;
-  /** Version that it confirmed; null where that isn't known. */
+  /** Version of the table that the node confirmed; null if unknown. */
   readonly tableVersion: number | null;
-  /** Milliseconds since it, or the replica that hears it, was heard. */
+  /**
+   * Time since the last message of the node, or of the other replica to which it
+   * is linked, in milliseconds.
+   */
   readonly silentMs: number;
 }
 
-/** Lists all members with what each confirmed. */
+/** Lists the reports of all members. */
 export function listReports(
   state: MembershipState,
   nowMs: number,
@@ -117,17 +136,19 @@
   return [...state.members.values()].map((member) => {
     const { announcement, owner } = member;
     const { nodeId } = announcement;
-    const direct = state.direct.get(nodeId);
-    const source = state.owners.get(owner);
+    const linkedNode = state.linkedNodes.get(nodeId);
+    const ownerReplica = state.owners.get(owner);
     const tableVersion = owner === state.self
-      ? direct?.tableVersion
-      : source?.behind.get(nodeId) ?? source?.tableVersion;
-    const heardMs = owner === state.self ? direct?.heardMs : source?.heardMs;
+      ? linkedNode?.tableVersion
+      : ownerReplica?.behind.get(nodeId) ?? ownerReplica?.tableVersion;
+    const lastReceivedAtMs = owner === state.self
+      ? linkedNode?.lastReceivedAtMs
+      : ownerReplica?.lastReceivedAtMs;
     return {
       announcement,
       owner,
       tableVersion: tableVersion ?? null,
-      silentMs: nowMs - (heardMs ?? state.startedAtMs),
+      silentMs: nowMs - (lastReceivedAtMs ?? state.startedAtMs),
     };
   });
 }
--- a/src/engine/membership/common/presence.ts
+++ b/src/engine/membership/common/presence.ts
@@ -1,4 +1,7 @@
-/** The exchange of presence among control replicas, with anti-entropy. */
+/**
+ * The exchange of presence among control replicas: each publishes changes of the
+ * nodes linked to it, and digests repair lost changes (anti-entropy).
+ */
 import {
   chainReduction,
   createReduction,
@@ -10,8 +13,8 @@
 import { updateIndex } from "./member_index.ts";
 import type { IndexChange } from "./member_index.ts";
 import {
-  FORGET_OWNER_MS,
-  isOwnerHeard,
+  isOwnerAlive,
+  OWNER_RETENTION_MS,
   readReplicaId,
   UNKNOWN_SEQUENCE,
 } from "./membership_state.ts";
@@ -26,7 +29,7 @@
   PresenceMessage,
 } from "./presence_messages.ts";
 
-/** What subscribers of a service and other replicas are told. */
+/** Notifications to subscribers of a service, and messages to other replicas. */
 export type MembershipEffect =
   | { readonly type: "PublishMember"; readonly announcement: Announcement }
   | {
@@ -34,7 +37,7 @@
     readonly nodeId: string;
     readonly service: string;
   }
-  /** To every other replica. */
+  /** Sends to every other replica. */
   | { readonly type: "SendPresence"; readonly message: PresenceMessage }
   | {
     readonly type: "ReplyPresence";
@@ -42,10 +45,13 @@
     readonly message: PresenceMessage;
   };
 
-/** A step of presence. */
+/** A state of presence and the effects of reaching it. */
 export type MembershipStep = Reduction<MembershipState, MembershipEffect>;
 
-/** Whether `next` was said after `current`: by process, link, then change. */
+/**
+ * Whether `next` replaces `current`: compares the incarnation, then the link, then
+ * the sequence.
+ */
 export function isNewerPresence(
   next: Presence,
   current: Presence | undefined,
@@ -60,30 +66,30 @@
   return order > 0;
 }
 
-/** Nodes that one replica puts and removes. */
+/** Changes of the nodes of one owner. */
 export interface OwnedChange {
   readonly owner: string;
   readonly put: readonly Presence[];
-  /** Node ids; of those, nodes that another replica hears by now stay. */
+  /** Node ids; nodes that have since been linked to another replica are kept. */
   readonly removed: readonly string[];
 }
 
-/** Applies what is newer of a change; copies the maps once for all of it. */
-export function changeOwned(
+/** Applies the newer parts of a change; copies the maps once for all of them. */
+export function updateOwnedNodes(
   state: MembershipState,
   change: OwnedChange,
 ): MembershipStep {
   const { owner } = change;
   const members = new Map(state.members);
-  const direct = new Map(state.direct);
+  const linkedNodes = new Map(state.linkedNodes);
   const effects: MembershipEffect[] = [];
-  const moved: IndexChange[] = [];
+  const indexChanges: IndexChange[] = [];
   for (const nodeId of change.removed) {
     const member = members.get(nodeId);
     if (member?.owner === owner) {
       const { service } = member.announcement;
       members.delete(nodeId);
-      moved.push({ before: member.announcement, after: undefined });
+      indexChanges.push({ before: member.announcement, after: undefined });
       effects.push({ type: "PublishMemberLoss", nodeId, service });
     }
   }
@@ -93,20 +99,20 @@
     const current = members.get(nodeId);
     if (isNewerPresence(presence, current)) {
       members.set(nodeId, { announcement, linkNumber, owner });
-      moved.push({ before: current?.announcement, after: announcement });
+      indexChanges.push({ before: current?.announcement, after: announcement });
       if (owner !== state.self) {
-        direct.delete(nodeId);
+        linkedNodes.delete(nodeId);
       }
       if (isNewerAnnouncement(announcement, current?.announcement)) {
         effects.push({ type: "PublishMember", announcement });
       }
     }
   }
-  const index = updateIndex(state.index, moved);
-  return createReduction({ ...state, members, index, direct }, effects);
+  const index = updateIndex(state.index, indexChanges);
+  return createReduction({ ...state, members, index, linkedNodes }, effects);
 }
 
-/** Takes a message of another replica. */
+/** Receives a message of another replica. */
 export function receivePresence(
   state: MembershipState,
   received: {
@@ -135,35 +141,36 @@
   }
 }
 
-/** Says what this replica knows of every owner that is alive. */
+/** Creates the digest of this replica and of every other owner that is alive. */
 export function createDigest(
   state: MembershipState,
   tableVersion: number,
   nowMs: number,
 ): PresenceDigest {
-  const behind = [...state.direct]
+  const behind = [...state.linkedNodes]
     .filter(([, node]) => node.tableVersion < tableVersion)
     .map(([nodeId, node]) => [nodeId, node.tableVersion] as const);
   const { self: owner, beat, sequence } = state;
   const own: OwnerDigest = { owner, beat, sequence, tableVersion, behind };
   const others = [...state.owners]
-    .filter(([, other]) => isOwnerHeard(other, nowMs))
+    .filter(([, other]) => isOwnerAlive(other, nowMs))
     .filter(([, other]) => other.sequence !== UNKNOWN_SEQUENCE)
     .map(([name, other]) => createOwnerDigest(name, other));
   return { type: "PresenceDigest", owners: [own, ...others] };
 }
 
 /**
- * Removes the nodes of silent replicas that no other replica hears. A replica
- * that doesn't hear most of the others may itself be cut off: it removes none.
+ * Removes the nodes of silent replicas that are linked to no other replica. A
+ * replica without contact to a majority may itself be partitioned: it removes
+ * none.
  */
 export function expireOwners(
   state: MembershipState,
   nowMs: number,
 ): MembershipStep {
   const silent = [...state.owners]
-    .filter(([, owner]) => !isOwnerHeard(owner, nowMs));
-  if (silent.length === 0 || !isMostHeard(state, nowMs)) {
+    .filter(([, owner]) => !isOwnerAlive(owner, nowMs));
+  if (silent.length === 0 || !isMajorityAlive(state, nowMs)) {
     return createReduction(state);
   }
   return silent.reduce<MembershipStep>(
@@ -173,18 +180,18 @@
   );
 }
 
-/** Counts replicas, not runs: one that restarts often is still one. */
-function isMostHeard(state: MembershipState, nowMs: number): boolean {
+/** Counts replicas, not process instances: a replica may restart often. */
+function isMajorityAlive(state: MembershipState, nowMs: number): boolean {
   const all = new Set([readReplicaId(state.self)]);
-  const heard = new Set(all);
+  const alive = new Set(all);
   for (const [name, owner] of state.owners) {
     const replicaId = readReplicaId(name);
     all.add(replicaId);
-    if (isOwnerHeard(owner, nowMs)) {
-      heard.add(replicaId);
+    if (isOwnerAlive(owner, nowMs)) {
+      alive.add(replicaId);
     }
   }
-  return heard.size * 2 > all.size;
+  return alive.size * 2 > all.size;
 }
 
 function expireOwner(
@@ -193,17 +200,17 @@
   owner: Owner,
   nowMs: number,
 ): MembershipStep {
-  const isForgotten = nowMs - owner.heardMs > FORGET_OWNER_MS;
-  const owners = isForgotten
+  const isExpired = nowMs - owner.lastReceivedAtMs > OWNER_RETENTION_MS;
+  const owners = isExpired
     ? deleteEntry(state.owners, name)
     : setEntry(state.owners, name, { ...owner, sequence: UNKNOWN_SEQUENCE });
   const next = { ...state, owners };
   if (owner.sequence === UNKNOWN_SEQUENCE) {
     return createReduction(next);
   }
-  const removed = findOwned(state, name)
+  const removed = listOwned(state, name)
     .map((presence) => presence.announcement.nodeId);
-  return changeOwned(next, { owner: name, put: [], removed });
+  return updateOwnedNodes(next, { owner: name, put: [], removed });
 }
 
 function applyDelta(
@@ -218,14 +225,14 @@
     return createReduction(state);
   }
   if (owner === undefined || owner.sequence !== delta.fromSequence) {
-    return createReduction(state, [createFetch(name, channel)]);
+    return createReduction(state, [createFetchEffect(name, channel)]);
   }
   const owners = setEntry(state.owners, name, {
     ...owner,
     sequence,
-    heardMs: nowMs,
+    lastReceivedAtMs: nowMs,
   });
-  return changeOwned({ ...state, owners }, delta);
+  return updateOwnedNodes({ ...state, owners }, delta);
 }
 
 function applyList(
@@ -239,18 +246,27 @@
     return createReduction(state);
   }
   const listed = new Set(nodes.map((node) => node.announcement.nodeId));
-  const removed = findOwned(state, name)
+  const removed = listOwned(state, name)
     .map((presence) => presence.announcement.nodeId)
     .filter((nodeId) => !listed.has(nodeId));
   const next: Owner = owner === undefined
-    ? { beat: 0, sequence, heardMs: nowMs, tableVersion: 0, behind: new Map() }
+    ? {
+      beat: 0,
+      sequence,
+      lastReceivedAtMs: nowMs,
+      tableVersion: 0,
+      behind: new Map(),
+    }
     : { ...owner, sequence };
   const owners = setEntry(state.owners, name, next);
   const change = { owner: name, put: nodes, removed };
-  return changeOwned({ ...state, owners }, change);
+  return updateOwnedNodes({ ...state, owners }, change);
 }
 
-/** Only a beat that was never seen proves that the owner lives. */
+/**
+ * Applies the digest of one owner, which may come through another replica: only a
+ * heartbeat number that is new proves that the owner is alive.
+ */
 function applyDigest(
   state: MembershipState,
   digest: OwnerDigest,
@@ -266,14 +282,14 @@
   const owners = setEntry(state.owners, name, {
     beat,
     sequence: known,
-    heardMs: nowMs,
+    lastReceivedAtMs: nowMs,
     tableVersion,
     behind: new Map(digest.behind),
   });
   const next = { ...state, owners };
   return createReduction(
     next,
-    known < sequence ? [createFetch(name, channel)] : [],
+    known < sequence ? [createFetchEffect(name, channel)] : [],
   );
 }
 
@@ -288,7 +304,7 @@
   if (sequence === UNKNOWN_SEQUENCE) {
     return createReduction(state);
   }
-  const nodes = findOwned(state, name);
+  const nodes = listOwned(state, name);
   const message: PresenceList = {
     type: "PresenceList",
     owner: name,
@@ -298,7 +314,7 @@
   return createReduction(state, [{ type: "ReplyPresence", channel, message }]);
 }
 
-function findOwned(
+function listOwned(
   state: MembershipState,
   owner: string,
 ): readonly Presence[] {
@@ -307,7 +323,7 @@
     .map(({ announcement, linkNumber }) => ({ announcement, linkNumber }));
 }
 
-function createFetch(
+function createFetchEffect(
   owner: string,
   channel: PresenceChannel,
 ): MembershipEffect {
--- a/src/engine/membership/common/presence_messages.ts
+++ b/src/engine/membership/common/presence_messages.ts
@@ -1,27 +1,29 @@
-/** Messages by which control replicas exchange presence. Soft state only. */
+/** Messages by which control replicas exchange presence; none of it is persisted. */
 import type { WorkspaceUsage } from "../../workspaces/common/quota_shares.ts";
 import type { Announcement } from "./announcement.ts";
 
-/** A node as the replica that hears it tells the others. */
+/** A node as published by its owner, the replica to which it is linked. */
 export interface Presence {
   readonly announcement: Announcement;
-  /** Counts the links that the node opened; a later link wins. */
+  /** Number of links that the node has opened; a later link takes precedence. */
   readonly linkNumber: number;
 }
 
-/** Changes of one owner's nodes, in the order of its sequence. */
+/** Changes of one owner's nodes; applied in the order of its sequence. */
 export interface PresenceDelta {
   readonly type: "PresenceDelta";
+  /** Process instance of the replica. */
   readonly owner: string;
-  /** Sequence of the owner before the change. */
+  /** The owner's sequence before the change. */
   readonly fromSequence: number;
+  /** The owner's sequence after the change. */
   readonly sequence: number;
   readonly put: readonly Presence[];
   /** Node ids. */
   readonly removed: readonly string[];
 }
 
-/** All nodes of one owner. */
+/** All nodes of one owner as of a sequence. */
 export interface PresenceList {
   readonly type: "PresenceList";
   readonly owner: string;
@@ -29,45 +31,47 @@
   readonly nodes: readonly Presence[];
 }
 
-/** How far the sender knows one owner; renews the leases of its nodes. */
+/** The sender's state of one owner; renews the leases of the owner's nodes. */
 export interface OwnerDigest {
   readonly owner: string;
-  /** Counts the owner's own digests: a new one proves that it lives. */
+  /** Number of the owner's own digests (heartbeats): a new one proves it is alive. */
   readonly beat: number;
+  /** Sequence up to which the sender knows the owner's nodes. */
   readonly sequence: number;
-  /** Version confirmed by each of its nodes that `behind` leaves out. */
+  /** Version of the table confirmed by each of its nodes not in `behind`. */
   readonly tableVersion: number;
-  /** Node ids with the version that they confirmed. */
+  /** Ids of the other nodes with the version that they confirmed. */
   readonly behind: readonly (readonly [string, number])[];
 }
 
-/** What the sender knows of every owner that is alive, itself first. */
+/** The sender's state of every owner that is alive, itself first. */
 export interface PresenceDigest {
   readonly type: "PresenceDigest";
   readonly owners: readonly OwnerDigest[];
 }
 
-/** What the nodes of one replica are asked for by workspaces near a limit. */
+/** Usage of the workspaces near a limit, summed over the nodes of one replica. */
 export interface UsageDigest {
   readonly type: "UsageDigest";
+  /** Id of the replica, not of its process instance. */
   readonly owner: string;
   readonly usages: readonly WorkspaceUsage[];
-  /** Nodes that are linked to the owner. */
+  /** Number of nodes linked to the owner. */
   readonly nodes: number;
 }
 
-/** What control replicas say to each other. */
+/** A message between control replicas. */
 export type PresenceMessage =
   | PresenceDelta
   | PresenceList
   | PresenceDigest
   | UsageDigest
-  /** Asks for the list of one owner, from whoever has it. */
+  /** Requests the list of one owner's nodes from a replica that has it. */
   | { readonly type: "PresenceFetch"; readonly owner: string }
-  /** The operator wants a node drained; whoever holds its link tells it. */
+  /** Requests a drain of a node; the replica to which it is linked forwards it. */
   | { readonly type: "DrainRelay"; readonly nodeId: string };
 
-/** Which link a message came on, and replies go to. */
+/** The link on which a message arrived, and to which replies are sent. */
 export type PresenceChannel =
   | { readonly type: "Accepted"; readonly linkId: number }
   | { readonly type: "Dialled"; readonly replica: string };
--- a/src/engine/membership/test/announcement_test.ts
+++ b/src/engine/membership/test/announcement_test.ts
@@ -21,8 +21,8 @@
   isDraining: false,
 };
 
-describe("a node that was started again after its clock went back", () => {
-  it("goes on with an incarnation above the one that others hold", () => {
+describe("a node that was restarted after its clock was set back", () => {
+  it("switches to an incarnation above the one known to others", () => {
     const before = { ...OWN, incarnation: 9_000, sequence: 40 };
     const other = { ...OWN, nodeId: "node-2", incarnation: 20_000 };
     const incarnation = renewIncarnation(OWN, [other, before]);
@@ -32,7 +32,7 @@
       .to.equal(true);
   });
 
-  it("keeps its own where that is the newest", () => {
+  it("keeps its own incarnation if that is the newest", () => {
     const before = { ...OWN, incarnation: 6_000 };
     expect(renewIncarnation(OWN, [before, OWN])).to.equal(undefined);
     expect(renewIncarnation(OWN, [])).to.equal(undefined);
--- a/src/engine/membership/test/member_index_test.ts
+++ b/src/engine/membership/test/member_index_test.ts
@@ -1,4 +1,4 @@
-/** The members by service against a scan of all members. */
+/** Compares the index of members by service with a scan of all members. */
 import { expect } from "chai";
 import fc from "fast-check";
 import { reduceMembership } from "../common/membership_reducer.ts";
@@ -25,7 +25,7 @@
   linkNumber,
 }));
 
-const direct = fc.oneof(
+const linkEvent = fc.oneof(
   presence.map((one): MembershipEvent => ({
     type: "NodeAnnounced",
     ...one,
@@ -37,8 +37,8 @@
   })),
 );
 
-/** Another replica's nodes, as a list that stands for all before it. */
-const listed = fc.record({
+/** A list of another replica's nodes, which replaces all earlier ones. */
+const listEvent = fc.record({
   owner: fc.constantFrom(...OWNERS),
   sequence: fc.integer({ min: 1, max: 9 }),
   nodes: fc.array(presence, { maxLength: 4 }),
@@ -48,7 +48,7 @@
   message: { type: "PresenceList", ...list },
 }));
 
-const ticked = fc.constant<MembershipEvent>({
+const tickEvent = fc.constant<MembershipEvent>({
   type: "Ticked",
   tableVersion: 1,
 });
@@ -65,7 +65,7 @@
 
 describe("members by service", () => {
   it("are those of a scan after any events", () => {
-    const anyEvent = fc.oneof(direct, listed, ticked);
+    const anyEvent = fc.oneof(linkEvent, listEvent, tickEvent);
     let movedCount = 0;
     fc.assert(
       fc.property(fc.array(anyEvent, { maxLength: 30 }), (events) => {
--- a/src/engine/membership/test/replicas.ts
+++ b/src/engine/membership/test/replicas.ts
@@ -1,4 +1,4 @@
-/** A few replicas' presence on one clock, with links that can be cut. */
+/** Simulates the presence of a few replicas on one clock, with lossy links. */
 import type { Announcement } from "../common/announcement.ts";
 import { reduceMembership } from "../common/membership_reducer.ts";
 import type { MembershipEvent } from "../common/membership_reducer.ts";
@@ -7,18 +7,21 @@
 import type { MembershipEffect } from "../common/presence.ts";
 import type { PresenceMessage } from "../common/presence_messages.ts";
 
-/** What subscribers at one replica were told, in order. */
-export type Publication = { readonly at: string; readonly told: string };
+/** A notification that a replica sent to its subscribers. */
+export type Publication = {
+  readonly at: string;
+  readonly notification: string;
+};
 
 const STEP_MS = 250;
 
-/** Replicas that a test drives by hand. */
+/** Replicas whose events and clock are driven by a test. */
 export class Replicas {
   nowMs = 1_000_000;
   readonly states = new Map<string, MembershipState>();
   readonly published: Publication[] = [];
   readonly stopped = new Set<string>();
-  /** `from>to` of links that lose every message. */
+  /** Directions of links, as `from>to`, that lose every message. */
   readonly cuts = new Set<string>();
   messageCount = 0;
 
@@ -54,17 +57,23 @@
     });
   }
 
-  hear(id: string, nodeId: string, tableVersion = 1): void {
+  receiveHeartbeat(id: string, nodeId: string, tableVersion = 1): void {
     const type = "NodeHeartbeatReceived";
     this.dispatch(id, { type, nodeId, tableVersion });
   }
 
-  /** Passes time; `heard` are the heartbeats that arrive meanwhile. */
-  pass(ms: number, heard: readonly (readonly [string, string])[] = []): void {
-    for (let spent = 0; spent < ms; spent += STEP_MS) {
+  /**
+   * Advances the clock with ticks; `heartbeats` are pairs of replica and node,
+   * received at each tick.
+   */
+  advance(
+    ms: number,
+    heartbeats: readonly (readonly [string, string])[] = [],
+  ): void {
+    for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += STEP_MS) {
       this.nowMs += STEP_MS;
-      for (const [id, nodeId] of heard) {
-        this.hear(id, nodeId);
+      for (const [id, nodeId] of heartbeats) {
+        this.receiveHeartbeat(id, nodeId);
       }
       for (const id of this.states.keys()) {
         if (!this.stopped.has(id)) {
@@ -74,7 +83,7 @@
     }
   }
 
-  list(id: string): readonly string[] {
+  listNodes(id: string): readonly string[] {
     return [...this.states.get(id)!.members.keys()].toSorted();
   }
 
@@ -82,11 +91,17 @@
     switch (effect.type) {
       case "PublishMember": {
         const { nodeId, sequence } = effect.announcement;
-        this.published.push({ at: from, told: `${nodeId}/${sequence}` });
+        this.published.push({
+          at: from,
+          notification: `${nodeId}/${sequence}`,
+        });
         return;
       }
       case "PublishMemberLoss":
-        this.published.push({ at: from, told: `lost ${effect.nodeId}` });
+        this.published.push({
+          at: from,
+          notification: `lost ${effect.nodeId}`,
+        });
         return;
       case "SendPresence":
         for (const to of this.states.keys()) {
@@ -111,7 +126,7 @@
   }
 }
 
-/** Creates what a node says of itself. */
+/** Creates the announcement of a node. */
 export function createAnnouncement(
   nodeId: string,
   sequence = 0,
