--- a/src/daemon/relay_control.ts
+++ b/src/daemon/relay_control.ts
@@ -102,7 +102,7 @@
     if (this.#routes?.workspaces === undefined) {
       return;
     }
-    const usages = this.#options.quotas.takeReport();
+    const usages = this.#options.quotas.createReport();
     if (usages.length > 0) {
       this.#link.send({ type: "UsageReport", usages });
     }
@@ -172,7 +172,7 @@
       return heartbeat;
     }
     this.#askedAtMs = readSteadyMs();
-    return { ...heartbeat, proof: this.#options.access.askProof() };
+    return { ...heartbeat, proof: this.#options.access.requestProof() };
   }
 
   #announce(announcement: Announcement): void {
--- a/src/daemon/relay_daemon.ts
+++ b/src/daemon/relay_daemon.ts
@@ -19,7 +19,7 @@
 import { computeKeyDigest } from "../engine/workspaces/node/key_digest.ts";
 import { WorkspaceCheck } from "../engine/workspaces/common/workspace_check.ts";
 import { QuotaGate } from "../engine/workspaces/common/quota_gate.ts";
-import { USAGE_MS } from "../engine/workspaces/common/usage_window.ts";
+import { USAGE_INTERVAL_MS } from "../engine/workspaces/common/usage_window.ts";
 import { countRanks } from "../engine/workspaces/common/workspace.ts";
 import { KeyAccess } from "../engine/workspaces/common/key_access.ts";
 import type { OperatorServer } from "./operator_server.ts";
@@ -45,7 +45,7 @@
 /** Ticks between notes of the own load, as often as others report theirs. */
 const OWN_LOAD_TICKS = REPORT_MS / TICK_MS;
 /** Ticks between reports of what workspaces asked for. */
-const USAGE_TICKS = USAGE_MS / TICK_MS;
+const USAGE_TICKS = USAGE_INTERVAL_MS / TICK_MS;
 /** Ticks between looks for idle links. */
 const IDLE_TICKS = 500;
 /** How long a drain goes on taking work: callers look each second, twice. */
--- a/src/engine/control/common/control_report.ts
+++ b/src/engine/control/common/control_report.ts
@@ -2,7 +2,7 @@
 import type { Announcement } from "../../membership/common/announcement.ts";
 import {
   listReports,
-  readReplicaId,
+  parseReplicaId,
 } from "../../membership/common/membership_state.ts";
 import type { ControlState } from "./control_state.ts";
 import { createWorkspaceReports } from "./workspace_report.ts";
@@ -50,7 +50,7 @@
     nodes: listReports(state.membership, nowMs).map((report) => ({
       ...report.announcement,
       tableVersion: report.tableVersion,
-      heardBy: readReplicaId(report.owner),
+      heardBy: parseReplicaId(report.owner),
       lastHeardMs: report.silentMs,
       isSilent: report.silentMs > REPORT_SILENCE_MS,
     })),
@@ -66,7 +66,7 @@
 ): readonly ReplicaReport[] {
   const latest = new Map<string, ReplicaReport>();
   for (const [name, owner] of state.membership.owners) {
-    const id = readReplicaId(name);
+    const id = parseReplicaId(name);
     const lastHeardMs = nowMs - owner.lastReceivedAtMs;
     if (lastHeardMs < (latest.get(id)?.lastHeardMs ?? Infinity)) {
       const { tableVersion } = owner;
--- a/src/engine/control/common/presence_step.ts
+++ b/src/engine/control/common/presence_step.ts
@@ -8,7 +8,7 @@
 import { reduceMembership } from "../../membership/common/membership_reducer.ts";
 import type { MembershipEvent } from "../../membership/common/membership_reducer.ts";
 import {
-  isComplete,
+  isMemberListComplete,
   listMembers,
 } from "../../membership/common/membership_state.ts";
 import type { MembershipEffect } from "../../membership/common/presence.ts";
@@ -91,7 +91,7 @@
   const tableVersion = state.tableState.table.version;
   const step = stepMembership(state, { type: "Ticked", tableVersion }, nowMs);
   return chainReduction(step, (s) => {
-    if (s.isWarm || !isComplete(s.membership, nowMs)) {
+    if (s.isWarm || !isMemberListComplete(s.membership, nowMs)) {
       return createReduction(s);
     }
     const warm = { ...s, isWarm: true };
--- a/src/engine/control/common/usage_step.ts
+++ b/src/engine/control/common/usage_step.ts
@@ -8,7 +8,7 @@
  */
 import { createReduction } from "../../../base/common/reduction.ts";
 import { setEntry } from "../../../base/common/maps.ts";
-import { readReplicaId } from "../../membership/common/membership_state.ts";
+import { parseReplicaId } from "../../membership/common/membership_state.ts";
 import type { UsageDigest } from "../../membership/common/presence_messages.ts";
 import {
   addUsages,
@@ -81,7 +81,7 @@
   }
   const digest: UsageDigest = {
     type: "UsageDigest",
-    owner: readReplicaId(state.membership.self),
+    owner: parseReplicaId(state.membership.self),
     usages: listNear(state, listOwnUsages(state, nowMs), quotaTerms),
     nodes: countOwnNodes(state),
   };
--- a/src/engine/control/test/revocation_model_test.ts
+++ b/src/engine/control/test/revocation_model_test.ts
@@ -92,7 +92,7 @@
       type: "Heartbeat",
       tableVersion: 0,
       routesVersion: this.version,
-      proof: this.access.askProof(),
+      proof: this.access.requestProof(),
     });
   }
 
--- a/src/engine/membership/common/membership_state.ts
+++ b/src/engine/membership/common/membership_state.ts
@@ -92,7 +92,7 @@
 }
 
 /** Parses the replica id from the name of one of its process instances. */
-export function readReplicaId(owner: string): string {
+export function parseReplicaId(owner: string): string {
   return owner.slice(0, owner.lastIndexOf("@"));
 }
 
@@ -105,7 +105,10 @@
 }
 
 /** Whether the lists are complete: a node that isn't listed is no member. */
-export function isComplete(state: MembershipState, nowMs: number): boolean {
+export function isMemberListComplete(
+  state: MembershipState,
+  nowMs: number,
+): boolean {
   return nowMs - state.startedAtMs >= WARM_UP_MS;
 }
 
--- a/src/engine/membership/common/presence.ts
+++ b/src/engine/membership/common/presence.ts
@@ -15,7 +15,7 @@
 import {
   isOwnerAlive,
   OWNER_RETENTION_MS,
-  readReplicaId,
+  parseReplicaId,
   UNKNOWN_SEQUENCE,
 } from "./membership_state.ts";
 import type { MembershipState, Owner } from "./membership_state.ts";
@@ -182,10 +182,10 @@
 
 /** Counts replicas, not process instances: a replica may restart often. */
 function isMajorityAlive(state: MembershipState, nowMs: number): boolean {
-  const all = new Set([readReplicaId(state.self)]);
+  const all = new Set([parseReplicaId(state.self)]);
   const alive = new Set(all);
   for (const [name, owner] of state.owners) {
-    const replicaId = readReplicaId(name);
+    const replicaId = parseReplicaId(name);
     all.add(replicaId);
     if (isOwnerAlive(owner, nowMs)) {
       alive.add(replicaId);
--- a/src/engine/relay/node/caller_server.ts
+++ b/src/engine/relay/node/caller_server.ts
@@ -304,7 +304,7 @@
     }
     const mayStart = workspace === undefined || this.#hasEntered(
       exchange,
-      this.#options.workspaces.checkWhole(workspace),
+      this.#options.workspaces.recheckLease(workspace),
     );
     if (mayStart) {
       this.#start(exchange, route, whole);
@@ -314,7 +314,7 @@
   /** A request that ran nowhere doesn't count against a limit. */
   #giveBack(workspace: Workspace | undefined): void {
     if (workspace !== undefined) {
-      this.#options.workspaces.giveBack(workspace);
+      this.#options.workspaces.recordNotRun(workspace);
     }
   }
 
--- a/src/engine/relay/test/caller_server_test.ts
+++ b/src/engine/relay/test/caller_server_test.ts
@@ -104,7 +104,7 @@
   givenBack = 0;
 
   constructor(port: number, hasRoutes: boolean) {
-    this.workspaces.giveBack = () => {
+    this.workspaces.recordNotRun = () => {
       this.givenBack += 1;
     };
     this.url = `http://127.0.0.1:${port}/`;
@@ -243,7 +243,7 @@
       burst: 0,
     };
     callers.access.replaceWorkspaces([workspace]);
-    callers.access.acceptProof(callers.access.askProof());
+    callers.access.acceptProof(callers.access.requestProof());
     const routes = [{ ...ROUTE, needsKey: true }];
     callers.server.replaceRoutes({ version: 2, routes, limits: LIMITS });
     const connection = callers.connect(`${HEAD}ab`);
@@ -278,7 +278,7 @@
     const connection = await sendSlowly(callers, 0);
     await waitFor(() => callers.held.length === 1);
     callers.aheadMs = ROUTE.timeoutMs - 1;
-    callers.access.acceptProof(callers.access.askProof());
+    callers.access.acceptProof(callers.access.requestProof());
     callers.aheadMs += 1;
     callers.held.forEach((run) => run());
     await waitFor(() => connection.received.includes("HTTP/1.1 503"));
--- a/src/engine/workspaces/common/key_access.ts
+++ b/src/engine/workspaces/common/key_access.ts
@@ -1,11 +1,11 @@
 /** Decides at an entry node whether a request's key grants access. */
 import {
   acceptProof,
-  askProof,
   INITIAL_LEASE,
   isLeaseValid,
   isProvedSince,
   observeClocks,
+  requestProof,
 } from "./key_lease.ts";
 import type { ClockReading, KeyLease } from "./key_lease.ts";
 import { buildKeyIndex } from "./workspace.ts";
@@ -51,10 +51,10 @@
   }
 
   /** Records that a proof is requested now; returns the number to send with it. */
-  askProof(): number {
+  requestProof(): number {
     const now = this.#observeClocks();
     const number = this.#lease.nextProofNumber;
-    this.#lease = askProof(this.#lease, now);
+    this.#lease = requestProof(this.#lease, now);
     return number;
   }
 
--- a/src/engine/workspaces/common/key_lease.ts
+++ b/src/engine/workspaces/common/key_lease.ts
@@ -72,7 +72,7 @@
 const MAX_PENDING_PROOFS = 16;
 
 /** Records that a proof is requested now, with the number `nextProofNumber`. */
-export function askProof(lease: KeyLease, now: ClockReading): KeyLease {
+export function requestProof(lease: KeyLease, now: ClockReading): KeyLease {
   const pendingProofs = new Map(lease.pendingProofs).set(
     lease.nextProofNumber,
     now,
--- a/src/engine/workspaces/common/quota_gate.ts
+++ b/src/engine/workspaces/common/quota_gate.ts
@@ -5,7 +5,7 @@
   WorkspaceShare,
   WorkspaceUsage,
 } from "./quota_shares.ts";
-import { USAGE_MS, UsageWindow } from "./usage_window.ts";
+import { USAGE_INTERVAL_MS, UsageWindow } from "./usage_window.ts";
 import type { Workspace } from "./workspace.ts";
 
 /** Result of checking a request against the limit of its workspace. */
@@ -120,12 +120,12 @@
   }
 
   /** Records that an admitted request was not run by any backend server. */
-  giveBack(workspace: Workspace): void {
+  recordNotRun(workspace: Workspace): void {
     const { terms } = this.#options;
     if (
       terms !== undefined && computeWindowLimit(workspace, terms) < Infinity
     ) {
-      this.#window.giveBack(workspace.name);
+      this.#window.recordNotRun(workspace.name);
     }
   }
 
@@ -133,7 +133,7 @@
    * Creates the usage report that control replicas add up, and advances the
    * window by one interval.
    */
-  takeReport(): readonly WorkspaceUsage[] {
+  createReport(): readonly WorkspaceUsage[] {
     const usages = this.#window.list();
     this.#window.advance();
     this.#reportsSinceShares += 1;
@@ -181,7 +181,7 @@
   #createInitialCredit(limit: number, terms: QuotaTerms): InitialCredit {
     const allowance = terms.overage * limit + terms.slack;
     const atOnce = INITIAL_ALLOWANCE_RATIO * allowance / this.#entryCount;
-    const reportsPerWindow = terms.windowMs / USAGE_MS;
+    const reportsPerWindow = terms.windowMs / USAGE_INTERVAL_MS;
     return {
       credit: Math.floor(atOnce + this.#options.draw()),
       creditPerReport: limit / reportsPerWindow / this.#entryCount,
--- a/src/engine/workspaces/common/usage_window.ts
+++ b/src/engine/workspaces/common/usage_window.ts
@@ -10,8 +10,8 @@
 }
 
 /** Interval at which the window advances and is reported; length of a bucket. */
-export const USAGE_MS = 500;
-const RECENT_BUCKETS = RECENT_SPAN_MS / USAGE_MS;
+export const USAGE_INTERVAL_MS = 500;
+const RECENT_BUCKETS = RECENT_SPAN_MS / USAGE_INTERVAL_MS;
 /** A single bucket is too small a sample to be scaled up. */
 const MIN_ELAPSED_BUCKETS = 2;
 
@@ -27,7 +27,7 @@
   #elapsedBuckets = 1;
 
   constructor(windowMs: number) {
-    this.#windowBuckets = Math.ceil(windowMs / USAGE_MS);
+    this.#windowBuckets = Math.ceil(windowMs / USAGE_INTERVAL_MS);
   }
 
   /** Records a request, and whether it was admitted. */
@@ -39,7 +39,7 @@
   }
 
   /** Records that an admitted request was not run by any backend server. */
-  giveBack(workspace: string): void {
+  recordNotRun(workspace: string): void {
     const bucket = this.#getCurrentBucket(workspace);
     bucket.letIn -= 1;
   }
--- a/src/engine/workspaces/common/workspace_check.ts
+++ b/src/engine/workspaces/common/workspace_check.ts
@@ -67,13 +67,13 @@
    * Checks the lease again once the body is complete: receiving it may have taken
    * longer than the lease under which the head was checked.
    */
-  checkWhole(workspace: Workspace): EntryCheck {
+  recheckLease(workspace: Workspace): EntryCheck {
     return this.#access.isValid ? { type: "Entered", workspace } : LEASE_LAPSED;
   }
 
   /** Records that an admitted request was not run by any backend server. */
-  giveBack(workspace: Workspace): void {
-    this.#quotas.giveBack(workspace);
+  recordNotRun(workspace: Workspace): void {
+    this.#quotas.recordNotRun(workspace);
   }
 
   #checkLimit(workspace: Workspace): EntryCheck {
--- a/src/engine/workspaces/test/key_lease_test.ts
+++ b/src/engine/workspaces/test/key_lease_test.ts
@@ -57,7 +57,7 @@
     computeDigest: computeKeyDigest,
   });
   access.replaceWorkspaces([createWorkspace("mill", [KEY])]);
-  const prove = () => access.acceptProof(access.askProof());
+  const prove = () => access.acceptProof(access.requestProof());
   const check = (key: string | null = KEY, ageMs = 0) =>
     access.check(key ?? undefined, clocks.reading.steadyMs - ageMs).type;
   return { access, clocks, prove, check };
@@ -78,7 +78,7 @@
 
   it("is leased from the request of the proof, not from its arrival", () => {
     const { access, clocks, check } = createAccess();
-    const number = access.askProof();
+    const number = access.requestProof();
     clocks.advance(LEASE_MS);
     access.acceptProof(number);
     expect(check()).to.equal("Lapsed");
--- a/src/engine/workspaces/test/quota_simulation.ts
+++ b/src/engine/workspaces/test/quota_simulation.ts
@@ -11,7 +11,7 @@
   listShares,
 } from "../common/quota_shares.ts";
 import type { QuotaTerms, WorkspaceUsage } from "../common/quota_shares.ts";
-import { USAGE_MS } from "../common/usage_window.ts";
+import { USAGE_INTERVAL_MS } from "../common/usage_window.ts";
 import type { Workspace } from "../common/workspace.ts";
 
 /** The terms of the newest deployment. */
@@ -83,10 +83,10 @@
       upSinceMs = Infinity;
     },
     step: (atMs) => {
-      if (atMs === 0 || atMs % USAGE_MS !== 0) {
+      if (atMs === 0 || atMs % USAGE_INTERVAL_MS !== 0) {
         return;
       }
-      const reports = gates.map((gate) => gate.takeReport());
+      const reports = gates.map((gate) => gate.createReport());
       if (scenario.isControlDown?.(atMs) === true) {
         known = [];
         upSinceMs = Infinity;
--- a/src/engine/workspaces/test/quota_test.ts
+++ b/src/engine/workspaces/test/quota_test.ts
@@ -179,8 +179,8 @@
     gate.replaceShares([], 1);
     gate.decide(WORKSPACE);
     gate.decide(WORKSPACE);
-    gate.giveBack(WORKSPACE);
-    expect(gate.takeReport())
+    gate.recordNotRun(WORKSPACE);
+    expect(gate.createReport())
       .to.deep.equal([{
         name: "mill",
         asked: 2,
@@ -208,8 +208,8 @@
     gate.replaceShares([["mill", 0]], 1);
     const unlimited = { ...WORKSPACE, ratePerSecond: 0, burst: 0 };
     expect(gate.decide(unlimited).type).to.equal("LetIn");
-    gate.giveBack(unlimited);
-    expect(gate.takeReport()).to.deep.equal([]);
+    gate.recordNotRun(unlimited);
+    expect(gate.createReport()).to.deep.equal([]);
   });
 
   it("removes a workspace that has no requests any more", () => {
