--- a/src/engine/membership/common/announcement.ts
+++ b/src/engine/membership/common/announcement.ts
@@ -1,6 +1,8 @@
 /** Announcements: how a node describes itself and its backend server. */
 
-/** A node's announcement; replaced by one with a higher incarnation or sequence. */
+/**
+ * A node's announcement; replaced by one with a higher incarnation or sequence.
+ */
 export interface Announcement {
   readonly nodeId: string;
   /**
--- a/src/engine/membership/common/member_index.ts
+++ b/src/engine/membership/common/member_index.ts
@@ -1,4 +1,7 @@
-/** Index of the members by service, maintained along with the map of all members. */
+/**
+ * Index of the members by service, maintained along with the map of all
+ * members.
+ */
 import type { Announcement } from "./announcement.ts";
 
 /** Announcements by service, then by node id; contains no empty service. */
--- a/src/engine/membership/common/membership_reducer.ts
+++ b/src/engine/membership/common/membership_reducer.ts
@@ -46,7 +46,7 @@
   /** `tableVersion` is the version of the table in force at this replica. */
   | { readonly type: "Ticked"; readonly tableVersion: number };
 
-/** Applies an event; `nowMs` is the wall clock in milliseconds. */
+/** Applies an event; `nowMs` is the steady clock in milliseconds. */
 export function reduceMembership(
   state: MembershipState,
   event: MembershipEvent,
@@ -67,8 +67,8 @@
 }
 
 /**
- * Accepts an announcement. One that is not newer, such as a late one of an older
- * link, only renews the lease.
+ * Accepts an announcement. One that is not newer, such as a late one of an
+ * older link, only renews the lease.
  */
 function acceptAnnouncement(
   state: MembershipState,
@@ -169,7 +169,10 @@
   return createReduction(next, [{ type: "SendPresence", message }]);
 }
 
-/** Removes nodes that are linked to this replica, and notifies the other replicas. */
+/**
+ * Removes nodes that are linked to this replica, and notifies the other
+ * replicas.
+ */
 function removeLinkedNodes(
   state: MembershipState,
   nodeIds: readonly string[],
--- a/src/engine/membership/common/membership_state.ts
+++ b/src/engine/membership/common/membership_state.ts
@@ -11,15 +11,17 @@
 
 /** A node that is linked to this replica. */
 export interface LinkedNode {
-  /** When the node's last message was received; wall clock in milliseconds. */
+  /**
+   * When the node's last message was received; steady clock in milliseconds.
+   */
   readonly lastReceivedAtMs: number;
   /** Version of the table that the node confirmed to be in force. */
   readonly tableVersion: number;
 }
 
 /**
- * Another replica's process instance, which owns the nodes linked to it: only it
- * renews their leases and publishes their changes.
+ * Another replica's process instance, which owns the nodes linked to it: only
+ * it renews their leases and publishes their changes.
  */
 export interface Owner {
   /** Highest heartbeat number received of the owner, see `OwnerDigest.beat`. */
@@ -29,7 +31,7 @@
    * `UNKNOWN_SEQUENCE` if their list must be fetched.
    */
   readonly sequence: number;
-  /** When a sign of life was last received; wall clock in milliseconds. */
+  /** When a sign of life was last received; steady clock in milliseconds. */
   readonly lastReceivedAtMs: number;
   /** Version of the table confirmed by each of its nodes not in `behind`. */
   readonly tableVersion: number;
@@ -39,9 +41,9 @@
 
 /** Members, and the leases of nodes and replicas. */
 export interface MembershipState {
-  /** This replica's process instance: `id@start`, the start in milliseconds. */
+  /** This replica's process instance: `id@startedAtMs`. */
   readonly self: string;
-  /** Wall clock in milliseconds, as are the other times. */
+  /** Steady clock in milliseconds, as are the other times. */
   readonly startedAtMs: number;
   readonly lastTickAtMs: number;
   readonly lastDigestAtMs: number;
@@ -65,14 +67,16 @@
 export const DIGEST_INTERVAL_MS = 1_000;
 /** Time after its start during which a replica's lists may be incomplete. */
 export const WARM_UP_MS = 15_000;
-/** A longer gap between ticks is a suspension of this replica or a clock step. */
+/**
+ * A longer gap between ticks is a suspension of this replica or a clock step.
+ */
 export const MAX_TICK_GAP_MS = 2_000;
 /** Silence after which a replica's process instance is removed. */
 export const OWNER_RETENTION_MS = 600_000;
 /** Sequence of an owner whose list of nodes must be fetched. */
 export const UNKNOWN_SEQUENCE = -1;
 
-/** Creates the state of a replica that starts at `nowMs`, the wall clock. */
+/** Creates the state of a replica that starts at `nowMs`, the steady clock. */
 export function createMembership(
   replicaId: string,
   nowMs: number,
@@ -125,8 +129,8 @@
   /** Version of the table that the node confirmed; null if unknown. */
   readonly tableVersion: number | null;
   /**
-   * Time since the last message of the node, or of the other replica to which it
-   * is linked, in milliseconds.
+   * Time since the last message of the node, or of the other replica to which
+   * it is linked, in milliseconds.
    */
   readonly silentMs: number;
 }
--- a/src/engine/membership/common/presence.ts
+++ b/src/engine/membership/common/presence.ts
@@ -1,6 +1,6 @@
 /**
- * The exchange of presence among control replicas: each publishes changes of the
- * nodes linked to it, and digests repair lost changes (anti-entropy).
+ * The exchange of presence among control replicas: each publishes changes of
+ * the nodes linked to it, and digests repair lost changes (anti-entropy).
  */
 import {
   chainReduction,
@@ -29,7 +29,9 @@
   PresenceMessage,
 } from "./presence_messages.ts";
 
-/** Notifications to subscribers of a service, and messages to other replicas. */
+/**
+ * Notifications to subscribers of a service, and messages to other replicas.
+ */
 export type MembershipEffect =
   | { readonly type: "PublishMember"; readonly announcement: Announcement }
   | {
@@ -49,8 +51,8 @@
 export type MembershipStep = Reduction<MembershipState, MembershipEffect>;
 
 /**
- * Whether `next` replaces `current`: compares the incarnation, then the link, then
- * the sequence.
+ * Whether `next` replaces `current`: compares the incarnation, then the link,
+ * then the sequence.
  */
 export function isNewerPresence(
   next: Presence,
@@ -70,11 +72,15 @@
 export interface OwnedChange {
   readonly owner: string;
   readonly put: readonly Presence[];
-  /** Node ids; nodes that have since been linked to another replica are kept. */
+  /**
+   * Node ids; nodes that have since been linked to another replica are kept.
+   */
   readonly removed: readonly string[];
 }
 
-/** Applies the newer parts of a change; copies the maps once for all of them. */
+/**
+ * Applies the newer parts of a change; copies the maps once for all of them.
+ */
 export function updateOwnedNodes(
   state: MembershipState,
   change: OwnedChange,
@@ -141,7 +147,9 @@
   }
 }
 
-/** Creates the digest of this replica and of every other owner that is alive. */
+/**
+ * Creates the digest of this replica and of every other owner that is alive.
+ */
 export function createDigest(
   state: MembershipState,
   tableVersion: number,
@@ -264,8 +272,8 @@
 }
 
 /**
- * Applies the digest of one owner, which may come through another replica: only a
- * heartbeat number that is new proves that the owner is alive.
+ * Applies the digest of one owner, which may come through another replica: only
+ * a heartbeat number that is new proves that the owner is alive.
  */
 function applyDigest(
   state: MembershipState,
--- a/src/engine/membership/common/presence_messages.ts
+++ b/src/engine/membership/common/presence_messages.ts
@@ -1,11 +1,16 @@
-/** Messages by which control replicas exchange presence; none of it is persisted. */
+/**
+ * Messages by which control replicas exchange presence; none of it is
+ * persisted.
+ */
 import type { WorkspaceUsage } from "../../workspaces/common/quota_shares.ts";
 import type { Announcement } from "./announcement.ts";
 
 /** A node as published by its owner, the replica to which it is linked. */
 export interface Presence {
   readonly announcement: Announcement;
-  /** Number of links that the node has opened; a later link takes precedence. */
+  /**
+   * Number of links that the node has opened; a later link takes precedence.
+   */
   readonly linkNumber: number;
 }
 
@@ -34,7 +39,10 @@
 /** The sender's state of one owner; renews the leases of the owner's nodes. */
 export interface OwnerDigest {
   readonly owner: string;
-  /** Number of the owner's own digests (heartbeats): a new one proves it is alive. */
+  /**
+   * Number of the owner's own digests (heartbeats): a new one proves it is
+   * alive.
+   */
   readonly beat: number;
   /** Sequence up to which the sender knows the owner's nodes. */
   readonly sequence: number;
@@ -50,7 +58,9 @@
   readonly owners: readonly OwnerDigest[];
 }
 
-/** Usage of the workspaces near a limit, summed over the nodes of one replica. */
+/**
+ * Usage of the workspaces near a limit, summed over the nodes of one replica.
+ */
 export interface UsageDigest {
   readonly type: "UsageDigest";
   /** Id of the replica, not of its process instance. */
@@ -68,7 +78,9 @@
   | UsageDigest
   /** Requests the list of one owner's nodes from a replica that has it. */
   | { readonly type: "PresenceFetch"; readonly owner: string }
-  /** Requests a drain of a node; the replica to which it is linked forwards it. */
+  /**
+   * Requests a drain of a node; the replica to which it is linked forwards it.
+   */
   | { readonly type: "DrainRelay"; readonly nodeId: string };
 
 /** The link on which a message arrived, and to which replies are sent. */
--- a/src/engine/membership/test/presence_test.ts
+++ b/src/engine/membership/test/presence_test.ts
@@ -1,4 +1,6 @@
-/** Presence exchanged among replicas: moves, losses, partitions and restarts. */
+/**
+ * Presence exchanged among replicas: moves, losses, partitions and restarts.
+ */
 import { expect } from "chai";
 import fc from "fast-check";
 import { LEASE_MS, listReports } from "../common/membership_state.ts";
@@ -46,7 +48,7 @@
     const replicas = new Replicas("a", "b", "c");
     replicas.advance(1_000);
     replicas.announce("a", "n1", 1);
-    replicas.cut("a", "b");
+    replicas.disconnect("a", "b");
     replicas.announce("b", "n1", 2);
     replicas.advance(LONG_MS, [["b", "n1"]]);
     for (const id of ["a", "b", "c"]) {
@@ -64,7 +66,7 @@
     const replicas = new Replicas("a", "b");
     replicas.advance(1_000);
     replicas.announce("a", "n1", 1);
-    replicas.cuts.add("b>a");
+    replicas.brokenLinks.add("b>a");
     replicas.announce("b", "n1", 2);
     replicas.advance(LONG_MS, [["b", "n1"]]);
     expect(replicas.listNodes("a")).to.deep.equal([]);
@@ -88,10 +90,10 @@
   it("fetches changes that a broken link lost", () => {
     const replicas = new Replicas("a", "b");
     replicas.advance(1_000);
-    replicas.cut("a", "b");
+    replicas.disconnect("a", "b");
     replicas.announce("a", "n1");
     expect(replicas.listNodes("b")).to.deep.equal([]);
-    replicas.cuts.clear();
+    replicas.brokenLinks.clear();
     replicas.advance(2_000, [["a", "n1"]]);
     expect(replicas.listNodes("b")).to.deep.equal(["n1"]);
   });
@@ -100,9 +102,9 @@
     const replicas = new Replicas("a", "b");
     replicas.announce("a", "n1");
     replicas.advance(1_000);
-    replicas.cut("a", "b");
+    replicas.disconnect("a", "b");
     replicas.announce("a", "n2");
-    replicas.cuts.clear();
+    replicas.brokenLinks.clear();
     replicas.announce("a", "n3");
     replicas.advance(1_000);
     expect(replicas.listNodes("b")).to.deep.equal(["n1", "n2", "n3"]);
@@ -110,7 +112,7 @@
 
   it("receives the heartbeats of a replica through a third one", () => {
     const replicas = new Replicas("a", "b", "c");
-    replicas.cut("a", "b");
+    replicas.disconnect("a", "b");
     replicas.announce("a", "n1");
     replicas.advance(LONG_MS, [["a", "n1"]]);
     expect(replicas.listNodes("b")).to.deep.equal(["n1"]);
@@ -155,8 +157,8 @@
     const replicas = new Replicas("a", "b", "c");
     replicas.advance(1_000);
     replicas.announce("b", "n1");
-    replicas.cut("a", "b");
-    replicas.cut("a", "c");
+    replicas.disconnect("a", "b");
+    replicas.disconnect("a", "c");
     replicas.advance(LONG_MS, [["b", "n1"]]);
     expect(replicas.listNodes("a")).to.deep.equal(["n1"]);
   });
@@ -187,7 +189,13 @@
     const action = fc.record({
       replica: fc.constantFrom(...ids),
       node: fc.constantFrom("n1", "n2", "n3"),
-      type: fc.constantFrom("announce", "leave", "cut", "heal", "advance"),
+      type: fc.constantFrom(
+        "announce",
+        "leave",
+        "disconnect",
+        "heal",
+        "advance",
+      ),
     });
     fc.assert(
       fc.property(fc.array(action, { maxLength: 40 }), (actions) => {
@@ -207,11 +215,11 @@
                 replicas.dispatch(replica, { type: "NodeLeft", nodeId: node });
               }
               break;
-            case "cut":
-              replicas.cut(replica, other);
+            case "disconnect":
+              replicas.disconnect(replica, other);
               break;
             case "heal":
-              replicas.cuts.clear();
+              replicas.brokenLinks.clear();
               break;
             case "advance":
               replicas.advance(
@@ -220,7 +228,7 @@
               );
           }
         }
-        replicas.cuts.clear();
+        replicas.brokenLinks.clear();
         replicas.advance(
           LONG_MS,
           [...replicaByNode].map(([n, r]) => [r, n] as const),
--- a/src/engine/membership/test/replicas.ts
+++ b/src/engine/membership/test/replicas.ts
@@ -22,7 +22,7 @@
   readonly published: Publication[] = [];
   readonly stopped = new Set<string>();
   /** Directions of links, as `from>to`, that lose every message. */
-  readonly cuts = new Set<string>();
+  readonly brokenLinks = new Set<string>();
   messageCount = 0;
 
   constructor(...ids: readonly string[]) {
@@ -36,8 +36,8 @@
     this.states.set(id, createMembership(id, this.nowMs));
   }
 
-  cut(a: string, b: string): void {
-    this.cuts.add(`${a}>${b}`).add(`${b}>${a}`);
+  disconnect(a: string, b: string): void {
+    this.brokenLinks.add(`${a}>${b}`).add(`${b}>${a}`);
   }
 
   dispatch(id: string, event: MembershipEvent): void {
@@ -116,7 +116,8 @@
   }
 
   #send(from: string, to: string, message: PresenceMessage): void {
-    const isLost = this.stopped.has(to) || this.cuts.has(`${from}>${to}`);
+    const isLost = this.stopped.has(to) ||
+      this.brokenLinks.has(`${from}>${to}`);
     if (from === to || isLost) {
       return;
     }
--- a/src/engine/workspaces/common/key_access.ts
+++ b/src/engine/workspaces/common/key_access.ts
@@ -14,7 +14,10 @@
 /** Result of checking the key of a request whose route requires one. */
 export type Access =
   | { readonly type: "Granted"; readonly workspace: Workspace }
-  /** The newest configuration, as proved since the request arrived, lacks the key. */
+  /**
+   * The newest configuration, as proved since the request arrived, lacks the
+   * key.
+   */
   | { readonly type: "UnknownKey" }
   /**
    * The next proof decides: none has been received yet, or none that was
@@ -50,7 +53,9 @@
     this.#index = buildKeyIndex(workspaces);
   }
 
-  /** Records that a proof is requested now; returns the number to send with it. */
+  /**
+   * Records that a proof is requested now; returns the number to send with it.
+   */
   requestProof(): number {
     const now = this.#observeClocks();
     const number = this.#lease.nextProofNumber;
@@ -58,7 +63,9 @@
     return number;
   }
 
-  /** Accepts the proof that the configuration in force here is the newest one. */
+  /**
+   * Accepts the proof that the configuration in force here is the newest one.
+   */
   acceptProof(number: number): void {
     this.#observeClocks();
     this.#lease = acceptProof(this.#lease, number);
--- a/src/engine/workspaces/common/key_lease.ts
+++ b/src/engine/workspaces/common/key_lease.ts
@@ -19,7 +19,9 @@
 
 /** Readings of both clocks at one time, in milliseconds. */
 export interface ClockReading {
-  /** Monotonic clock: unaffected by wall clock steps, stops during a suspension. */
+  /**
+   * Monotonic clock: unaffected by wall clock steps, stops during a suspension.
+   */
   readonly steadyMs: number;
   /** Wall clock: continues during a suspension, may be stepped either way. */
   readonly wallMs: number;
@@ -36,7 +38,9 @@
   /** When each outstanding proof was requested, by its number; oldest first. */
   readonly pendingProofs: ReadonlyMap<number, ClockReading>;
   readonly nextProofNumber: number;
-  /** When the newest received proof was requested; undefined without a proof. */
+  /**
+   * When the newest received proof was requested; undefined without a proof.
+   */
   readonly provedAt: ClockReading | undefined;
   /** The last reading of the clocks; undefined before the first one. */
   readonly observedAt: ClockReading | undefined;
@@ -52,11 +56,11 @@
 
 /**
  * Records a reading of the clocks. Must be called at short intervals and before
- * each use of the lease. If the clocks have diverged since the last reading, the
- * VM was suspended or the wall clock was stepped: the age of each proof is no
- * longer known, and a new one is needed. The only case that remains undetected
- * is a suspension that a step back compensates to within `MAX_SLEW_MS` between
- * two readings.
+ * each use of the lease. If the clocks have diverged since the last reading,
+ * the VM was suspended or the wall clock was stepped: the age of each proof is
+ * no longer known, and a new one is needed. The only case that remains
+ * undetected is a suspension that a step back compensates to within
+ * `MAX_SLEW_MS` between two readings.
  */
 export function observeClocks(lease: KeyLease, now: ClockReading): KeyLease {
   const before = lease.observedAt ?? now;
@@ -102,8 +106,9 @@
 }
 
 /**
- * Whether keys may be served at `now`: less than `validMs` milliseconds after the
- * newest proof was requested. `now` must have been passed to `observeClocks`.
+ * Whether keys may be served at `now`: less than `validMs` milliseconds after
+ * the newest proof was requested. `now` must have been passed to
+ * `observeClocks`.
  */
 export function isLeaseValid(
   lease: KeyLease,
--- a/src/engine/workspaces/common/quota_gate.ts
+++ b/src/engine/workspaces/common/quota_gate.ts
@@ -11,7 +11,9 @@
 /** Result of checking a request against the limit of its workspace. */
 export type QuotaDecision =
   | { readonly type: "LetIn" }
-  /** The shares, which depend on the total demand, haven't been received yet. */
+  /**
+   * The shares, which depend on the total demand, haven't been received yet.
+   */
   | { readonly type: "Unsure" }
   | {
     readonly type: "OverLimit";
@@ -39,8 +41,8 @@
 const INITIAL_ALLOWANCE_RATIO = 0.6;
 
 /**
- * Number of reports after which received shares count as stale: control replicas
- * send new ones about once for each report.
+ * Number of reports after which received shares count as stale: control
+ * replicas send new ones about once for each report.
  */
 const MAX_SHARE_AGE_REPORTS = 3;
 /**
@@ -49,7 +51,10 @@
  */
 const STALE_SHARE_RATIO = 0.8;
 
-/** Requests that an entry node may admit before it knows the share of a workspace. */
+/**
+ * Requests that an entry node may admit before it knows the share of a
+ * workspace.
+ */
 interface InitialCredit {
   credit: number;
   /** Requests added to the credit with each report. */
@@ -79,8 +84,8 @@
   }
 
   /**
-   * Replaces the shares below 1, unless undefined, and the total number of entry
-   * nodes.
+   * Replaces the shares below 1, unless undefined, and the total number of
+   * entry nodes.
    */
   replaceShares(
     shares: readonly WorkspaceShare[] | undefined,
@@ -155,8 +160,8 @@
   }
 
   /**
-   * Admits the given share of the requests at even intervals. The initial credit
-   * is random, so that entry nodes don't admit in step.
+   * Admits the given share of the requests at even intervals. The initial
+   * credit is random, so that entry nodes don't admit in step.
    */
   #spendCredit(name: string, share: number): boolean {
     const credit = (this.#credits.get(name) ?? this.#options.draw()) + share;
@@ -166,8 +171,8 @@
   }
 
   /**
-   * Admits requests from the initial credit: an entry node that has just started
-   * doesn't know how many requests the others admit.
+   * Admits requests from the initial credit: an entry node that has just
+   * started doesn't know how many requests the others admit.
    */
   #spendInitialCredit(name: string, limit: number, terms: QuotaTerms): boolean {
     const initial = this.#initialCredits.get(name) ??
--- a/src/engine/workspaces/common/quota_shares.ts
+++ b/src/engine/workspaces/common/quota_shares.ts
@@ -1,14 +1,14 @@
 /**
- * Computes the share of a workspace's requests that is admitted while its demand
- * exceeds its limit.
+ * Computes the share of a workspace's requests that is admitted while its
+ * demand exceeds its limit.
  *
  * Load pattern: from fractions of a request to tens of requests per second,
- * spread over hundreds of entry nodes, so that most entry nodes receive less than
- * one request per window. A fixed targetRatio of the limit for each entry node would
- * refuse most requests of a workspace that is far below its limit. Instead, each
- * entry node reports its received and admitted requests; the control replicas
- * add the reports up and answer with one share that all entry nodes apply. Below
- * the limit the share is 1, and nothing is refused.
+ * spread over hundreds of entry nodes, so that most entry nodes receive less
+ * than one request per window. A fixed part of the limit for each entry node
+ * would refuse most requests of a workspace that is far below its limit.
+ * Instead, each entry node reports its received and admitted requests; the
+ * control replicas add the reports up and answer with one share that all entry
+ * nodes apply. Below the limit the share is 1, and nothing is refused.
  */
 import type { Workspace } from "./workspace.ts";
 
@@ -16,9 +16,13 @@
 export interface QuotaTerms {
   /** Length of the sliding window to which a limit applies, in milliseconds. */
   readonly windowMs: number;
-  /** Requests that may be admitted beyond the limit, as a ratio of the limit. */
+  /**
+   * Requests that may be admitted beyond the limit, as a ratio of the limit.
+   */
   readonly overage: number;
-  /** Requests per window that may be admitted beyond the limit and `overage`. */
+  /**
+   * Requests per window that may be admitted beyond the limit and `overage`.
+   */
   readonly slack: number;
 }
 
@@ -53,16 +57,20 @@
  * delay of the reported counts.
  */
 const TARGET_ALLOWANCE_RATIO = 0.2;
-/** Proportional gain by which the share is reduced in a window above its target. */
+/**
+ * Proportional gain by which the share is reduced in a window above its target.
+ */
 const OVERRUN_GAIN = 3;
-/** Proportional gain by which the share is raised in a window below its target. */
+/**
+ * Proportional gain by which the share is raised in a window below its target.
+ */
 const UNDERRUN_GAIN = 0.1;
 /**
  * Minimum of the estimated demand relative to `asked`: a quiet moment doesn't
  * lower the estimate further.
  */
 const MIN_DEMAND_RATIO = 0.75;
-/** Minimum targetRatio of the target that is admitted while the share is reduced. */
+/** Minimum part of the target that is admitted while the share is reduced. */
 const MIN_TARGET_RATIO = 0.3;
 
 /** Computes the limit of a window in requests; Infinity without a limit. */
@@ -75,7 +83,9 @@
     : ratePerSecond * terms.windowMs / 1_000 + burst;
 }
 
-/** Computes the share of a workspace from the summed usage of all entry nodes. */
+/**
+ * Computes the share of a workspace from the summed usage of all entry nodes.
+ */
 export function computeShare(
   limit: number,
   usage: Omit<WorkspaceUsage, "name">,
@@ -103,7 +113,9 @@
   return Math.min(1, target * targetRatio / Math.max(1, demand));
 }
 
-/** Adds up the usage reported by several entry nodes or replicas, by workspace. */
+/**
+ * Adds up the usage reported by several entry nodes or replicas, by workspace.
+ */
 export function addUsages(
   lists: Iterable<readonly WorkspaceUsage[]>,
 ): ReadonlyMap<string, WorkspaceUsage> {
--- a/src/engine/workspaces/common/usage_window.ts
+++ b/src/engine/workspaces/common/usage_window.ts
@@ -9,7 +9,9 @@
   letIn: number;
 }
 
-/** Interval at which the window advances and is reported; length of a bucket. */
+/**
+ * Interval at which the window advances and is reported; length of a bucket.
+ */
 export const USAGE_INTERVAL_MS = 500;
 const RECENT_BUCKETS = RECENT_SPAN_MS / USAGE_INTERVAL_MS;
 /** A single bucket is too small a sample to be scaled up. */
--- a/src/engine/workspaces/common/workspace.ts
+++ b/src/engine/workspaces/common/workspace.ts
@@ -1,8 +1,8 @@
 /** Workspaces: tenants identified by keys, with their rank and limits. */
 
 /**
- * Hash by which a key is recognised. Only the digest is sent to nodes and stored
- * by them; the key itself stays in the operator's document.
+ * Hash by which a key is recognised. Only the digest is sent to nodes and
+ * stored by them; the key itself stays in the operator's document.
  */
 export type KeyDigest = string;
 
@@ -12,7 +12,7 @@
   readonly keyDigests: readonly KeyDigest[];
   /**
    * Rank of its requests, which takes precedence over the ranks of routes; 0 is
-   * the maxRank urgent. Undefined if only the routes' ranks apply.
+   * the most urgent. Undefined if only the routes' ranks apply.
    */
   readonly rank: number | undefined;
   /** Requests per second over all nodes; no limit if this and `burst` are 0. */
--- a/src/engine/workspaces/common/workspace_check.ts
+++ b/src/engine/workspaces/common/workspace_check.ts
@@ -35,7 +35,10 @@
   refusal: { type: "LeaseLapsed", retryAfterMs: LEASE_RETRY_MS },
 };
 
-/** Checks the key first, then the limit, so that the caller gets the first cause. */
+/**
+ * Checks the key first, then the limit, so that the caller gets the first
+ * cause.
+ */
 export class WorkspaceCheck {
   readonly #access: KeyAccess;
   readonly #quotas: QuotaGate;
@@ -64,8 +67,8 @@
   }
 
   /**
-   * Checks the lease again once the body is complete: receiving it may have taken
-   * longer than the lease under which the head was checked.
+   * Checks the lease again once the body is complete: receiving it may have
+   * taken longer than the lease under which the head was checked.
    */
   recheckLease(workspace: Workspace): EntryCheck {
     return this.#access.isValid ? { type: "Entered", workspace } : LEASE_LAPSED;
--- a/src/engine/workspaces/test/quota_simulation.ts
+++ b/src/engine/workspaces/test/quota_simulation.ts
@@ -1,6 +1,6 @@
 /**
- * Simulates entry nodes, control replicas and callers of one workspace, to compare
- * policies that enforce its limit.
+ * Simulates entry nodes, control replicas and callers of one workspace, to
+ * compare policies that enforce its limit.
  */
 import { createRandom } from "../../../base/test/seeded_random.ts";
 import type { Random } from "../../../base/test/seeded_random.ts";
@@ -35,7 +35,9 @@
 
 /** Result of a simulation. */
 export interface QuotaResult {
-  /** Requests admitted in the fullest window, relative to the allowed maximum. */
+  /**
+   * Requests admitted in the fullest window, relative to the allowed maximum.
+   */
   readonly worstWindow: number;
   /** Share of the requests refused while the demand was below the limit. */
   readonly wronglyRefused: number;
@@ -55,10 +57,15 @@
 const LENGTH_MS = 30_000;
 /** Time after a start during which control replicas send no shares. */
 const WARM_UP_MS = 2_500;
-/** Delay from a report to the share based on it: the periods of two replicas. */
+/**
+ * Delay from a report to the share based on it: the periods of two replicas.
+ */
 const SHARE_DELAY_MS = 750;
 
-/** Creates the implemented policy: one share, from the reports of all entry nodes. */
+/**
+ * Creates the implemented policy: one share, from the reports of all entry
+ * nodes.
+ */
 export function createSharedPolicy(scenario: QuotaScenario): QuotaPolicy {
   const random = createRandom(scenario.seed ?? 1);
   const workspace = createWorkspace(scenario);
@@ -107,7 +114,10 @@
   };
 }
 
-/** Creates the alternative policy: each entry node has an equal part of the limit. */
+/**
+ * Creates the alternative policy: each entry node has an equal part of the
+ * limit.
+ */
 export function createFixedPolicy(scenario: QuotaScenario): QuotaPolicy {
   const limit = computeWindowLimit(createWorkspace(scenario), TERMS);
   const maxTokens = (limit * (1 + TERMS.overage) + TERMS.slack) /
--- a/src/engine/workspaces/test/quota_test.ts
+++ b/src/engine/workspaces/test/quota_test.ts
@@ -1,4 +1,6 @@
-/** Limits of workspaces: shares from the reports of all entry nodes, under load. */
+/**
+ * Limits of workspaces: shares from the reports of all entry nodes, under load.
+ */
 import { expect } from "chai";
 import { QuotaGate } from "../common/quota_gate.ts";
 import { computeShare } from "../common/quota_shares.ts";
