--- a/src/engine/control/common/cluster_report.ts
+++ b/src/engine/control/common/cluster_report.ts
@@ -1,25 +1,25 @@
-/** What a replica tells operators of the replica set. */
+/** Reports on the replica set for operators. */
 import type { ReplicaRole } from "../../link/common/cluster_messages.ts";
 import { findLeader } from "../../consensus/common/term.ts";
-import { getRole, getSettingsId } from "./replication_state.ts";
+import { getRole, parseSettingsId } from "./replication_state.ts";
 import type { ReplicationState } from "./replication_state.ts";
 
 /** One replica of the table. */
 export interface ClusterMember {
   readonly id: string;
-  /** Id of its data folder; null where it was never heard. */
+  /** Id of its data folder; null before its first hello. */
   readonly replicaId: string | null;
   readonly role: ReplicaRole;
   readonly term: number;
   readonly commitIndex: number;
   readonly isSilent: boolean;
-  /** Since it was heard, or since this replica's start. */
+  /** Time since its last hello, or since it was added, in milliseconds. */
   readonly lastHeardMs: number;
 }
 
-/** The replica set as one replica sees it. */
+/** The replica set as known to one replica. */
 export interface ClusterReport {
-  /** Id in the settings; null for none known. */
+  /** Id of the leader in the settings; null if unknown. */
   readonly leader: string | null;
   readonly members: readonly ClusterMember[];
 }
@@ -47,9 +47,9 @@
     term: peer.term,
     commitIndex: peer.commitIndex,
     isSilent: peer.isSilent,
-    lastHeardMs: nowMs - peer.heardAtMs,
+    lastHeardMs: nowMs - peer.lastReceivedAtMs,
   }));
   const leaderId = findLeader(consensus);
-  const leader = leaderId === undefined ? null : getSettingsId(leaderId);
+  const leader = leaderId === undefined ? null : parseSettingsId(leaderId);
   return { leader, members: [self, ...others] };
 }
--- a/src/engine/control/common/consensus_step.ts
+++ b/src/engine/control/common/consensus_step.ts
@@ -1,4 +1,4 @@
-/** Steps consensus and carries its effects into the table. */
+/** Steps consensus, and applies its effects to the replicated state. */
 import {
   chainReduction,
   createReduction,
@@ -13,15 +13,15 @@
 import { applyEdit } from "../../table/common/table_reducer.ts";
 import type { TimelineEvent } from "../../telemetry/common/timeline_event.ts";
 import { commitEdit, retryEdit } from "./edit_requests.ts";
-import { settleProposal } from "./holder_settling.ts";
-import { commitHolders } from "./holders.ts";
+import { removeProposal } from "./holder_settling.ts";
+import { updateHolders } from "./holders.ts";
 import {
   decodeCommand,
   decodeReplicated,
   encodeReplicated,
 } from "./replicated_codec.ts";
 import type { ReplicatedCommand } from "./replicated_codec.ts";
-import { getSettingsId } from "./replication_state.ts";
+import { parseSettingsId } from "./replication_state.ts";
 import type {
   ReplicationEffect,
   ReplicationState,
@@ -36,29 +36,30 @@
   nowMs: number,
 ): ReplicationStep {
   const step = reduceConsensus(state.consensus, event, nowMs);
-  return carryEffects({ ...state, consensus: step.state }, step.effects, nowMs);
+  return applyEffects({ ...state, consensus: step.state }, step.effects, nowMs);
 }
 
-/** Carries the effects of consensus out, in order. */
-export function carryEffects(
+/** Applies the effects of consensus, in order. */
+export function applyEffects(
   state: ReplicationState,
   effects: readonly ConsensusEffect[],
   nowMs: number,
 ): ReplicationStep {
   return effects.reduce<ReplicationStep>(
-    (step, effect) => chainReduction(step, (s) => carry(s, effect, nowMs)),
+    (step, effect) =>
+      chainReduction(step, (s) => applyEffect(s, effect, nowMs)),
     createReduction(state),
   );
 }
 
-function carry(
+function applyEffect(
   state: ReplicationState,
   effect: ConsensusEffect,
   nowMs: number,
 ): ReplicationStep {
   switch (effect.type) {
     case "SendMessage":
-      return createReduction(state, [createRelay(state, effect)]);
+      return createReduction(state, [createConsensusRelay(state, effect)]);
     case "PersistLog":
     case "PersistSnapshot":
       return createReduction(state, [effect]);
@@ -76,12 +77,12 @@
     }
     case "ProposalCommitted":
       return commitEdit(
-        settleProposal(state, effect.requestId),
+        removeProposal(state, effect.requestId),
         effect.requestId,
       );
     case "ProposalFailed":
       return retryEdit(
-        settleProposal(state, effect.requestId),
+        removeProposal(state, effect.requestId),
         effect.requestId,
         { isUnknown: effect.failure.type === "OutcomeUnknown" },
       );
@@ -92,7 +93,7 @@
     case "LeaderChanged":
       return recordLeader(state, effect);
     case "ConfigurationChanged":
-      return recordChange(state, effect.configuration);
+      return recordConfiguration(state, effect.configuration);
     case "ReplicaSilent":
     case "ReplicaHeard":
     case "TransferExpired":
@@ -100,7 +101,7 @@
   }
 }
 
-function createRelay(
+function createConsensusRelay(
   state: ReplicationState,
   effect: Extract<ConsensusEffect, { type: "SendMessage" }>,
 ): ReplicationEffect {
@@ -108,7 +109,7 @@
   const from = state.consensus.replicaId;
   return {
     type: "SendToPeer",
-    peer: getSettingsId(to),
+    peer: parseSettingsId(to),
     message: { type: "ConsensusRelay", from, to, message },
   };
 }
@@ -124,14 +125,14 @@
   );
 }
 
-/** The leader alone records what was accepted, so that it is told once. */
+/** Applies a committed command; only the leader records the event, once. */
 function applyCommand(
   state: ReplicationState,
   command: ReplicatedCommand,
 ): ReplicationStep {
   const next = command.type === "TableEdited"
     ? { ...state, tableState: applyEdit(state.tableState, command.edit).state }
-    : { ...state, holders: commitHolders(state.holders, command) };
+    : { ...state, holders: updateHolders(state.holders, command) };
   const events = state.consensus.role.type === "Leader"
     ? listEvents(state, next, command)
     : [];
@@ -171,12 +172,12 @@
   effect: Extract<ConsensusEffect, { type: "LeaderChanged" }>,
 ): ReplicationStep {
   const { term, leaderId } = effect;
-  const leader = leaderId === undefined ? "none" : getSettingsId(leaderId);
+  const leader = leaderId === undefined ? "none" : parseSettingsId(leaderId);
   const event = { type: "LeaderChanged", term, leader } as const;
   return createReduction(state, [{ type: "RecordEvent", event }]);
 }
 
-function recordChange(
+function recordConfiguration(
   state: ReplicationState,
   { voters }: Configuration,
 ): ReplicationStep {
--- a/src/engine/control/common/control_reducer.ts
+++ b/src/engine/control/common/control_reducer.ts
@@ -1,4 +1,6 @@
-/** The one reducer of a control replica: table, presence and links. */
+/**
+ * Reducer of the nodes' side of a control replica: links, presence and pushes.
+ */
 import { deleteEntry } from "../../../base/common/maps.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
 import {
@@ -9,7 +11,7 @@
 import type { MembershipEvent } from "../../membership/common/membership_reducer.ts";
 import {
   createSend,
-  findLinks,
+  listLinks,
   NEW_LINK,
   updateLink,
 } from "./control_state.ts";
@@ -18,27 +20,31 @@
   ControlState,
   ControlStep,
 } from "./control_state.ts";
-import { replaceHolders, tellHolders } from "./holder_push.ts";
+import { replaceHolders, sendHolders } from "./holder_push.ts";
 import {
   createHeartbeatAnswer,
   createMemberList,
-  orderDrain,
   receiveReplica,
+  requestDrain,
   stepMembership,
   tickMembership,
 } from "./presence_step.ts";
-import { noteQuestion, replaceRounds } from "./routes_proof.ts";
-import { confirmRoutes, noteRoutes, pushRoutes } from "./routes_push.ts";
-import { noteUsage, tickUsage } from "./usage_step.ts";
+import { recordProofRequest, updateReadRounds } from "./routes_proof.ts";
+import {
+  confirmRoutes,
+  pushRoutes,
+  recordRoutesVersion,
+} from "./routes_push.ts";
+import { recordUsage, tickUsage } from "./usage_step.ts";
 import {
   confirmTable,
   pushTable,
-  rememberTable,
   resendTable,
+  retainTable,
   sendTable,
 } from "./table_push.ts";
 
-/** Steps a control replica; `nowMs` is the wall clock in milliseconds. */
+/** Applies an event; `nowMs` is the steady clock in milliseconds. */
 export function reduceControl(
   state: ControlState,
   event: ControlEvent,
@@ -57,11 +63,11 @@
     case "TableReplaced":
       return replaceTable(state, event, nowMs);
     case "RoundsReplaced":
-      return replaceRounds(state, event.readRounds);
+      return updateReadRounds(state, event.readRounds);
     case "HoldersReplaced":
       return replaceHolders(state, event.holders);
     case "DrainOrdered":
-      return orderDrain(state, event.nodeId);
+      return requestDrain(state, event.nodeId);
     case "Ticked":
       return chainReduction(
         tickMembership(state, nowMs),
@@ -88,10 +94,10 @@
       return createReduction(updateLink(state, linkId, { services }));
     }
     case "Heartbeat":
-      return renew(state, linkId, message, nowMs);
+      return receiveHeartbeat(state, linkId, message, nowMs);
     case "UsageReport": {
       const { usages } = message;
-      return createReduction(noteUsage(state, linkId, usages, nowMs));
+      return createReduction(recordUsage(state, linkId, usages, nowMs));
     }
     case "ReportCopied":
       return createReduction(state);
@@ -119,7 +125,7 @@
   const step: ControlStep = isNewLink
     ? chainReduction(
       sendTable(next, linkId, { fromVersion: tableVersion, nowMs }),
-      (s) => tellHolders(s, linkId),
+      (s) => sendHolders(s, linkId),
     )
     : createReduction(next);
   const event: MembershipEvent = {
@@ -131,7 +137,7 @@
   return chainReduction(
     chainReduction(
       step,
-      (s) => noteRoutes(s, linkId, { routesVersion, nowMs }),
+      (s) => recordRoutesVersion(s, linkId, { routesVersion, nowMs }),
     ),
     (s) => stepMembership(s, event, nowMs),
   );
@@ -149,15 +155,15 @@
   ]);
 }
 
-function renew(
+function receiveHeartbeat(
   state: ControlState,
   linkId: number,
   message: Extract<NodeMessage, { type: "Heartbeat" }>,
   nowMs: number,
 ): ControlStep {
   const { tableVersion, routesVersion, proof } = message;
-  const asked = noteQuestion(state, linkId, proof);
-  const next = updateLink(asked, linkId, { tableVersion });
+  const recorded = recordProofRequest(state, linkId, proof);
+  const next = updateLink(recorded, linkId, { tableVersion });
   const nodeId = next.links.get(linkId)?.nodeId ?? "";
   const event: MembershipEvent = {
     type: "NodeHeartbeatReceived",
@@ -169,7 +175,7 @@
       stepMembership(next, event, nowMs),
       (s) => resendTable(s, linkId, nowMs),
     ),
-    (s) => noteRoutes(s, linkId, { routesVersion, nowMs }),
+    (s) => recordRoutesVersion(s, linkId, { routesVersion, nowMs }),
   );
   return appendEffects(step, createHeartbeatAnswer(state, linkId));
 }
@@ -180,13 +186,13 @@
   nowMs: number,
 ): ControlStep {
   const { tableState, isCurrent } = event;
-  const before = state.tableState.table;
+  const previous = state.tableState.table;
   const replaced = { ...state, tableState, isTableConfirmed: isCurrent };
-  const next = tableState.table.version === before.version
+  const next = tableState.table.version === previous.version
     ? replaced
-    : rememberTable(replaced, before);
+    : retainTable(replaced, previous);
   if (!isCurrent && state.isTableConfirmed) {
-    return tellUnconfirmed(next);
+    return notifyUnconfirmed(next);
   }
   return isCurrent && !state.isTableConfirmed
     ? chainReduction(
@@ -200,11 +206,11 @@
 }
 
 /**
- * Nodes go to another replica as soon as this one can't prove that it is
- * current: behind a cut they would miss what the others accept.
+ * Notifies all nodes that this replica can't prove that it is current. They
+ * then switch to another replica: at a partitioned one they would miss changes.
  */
-function tellUnconfirmed(state: ControlState): ControlStep {
-  const linkIds = findLinks(state, (link) => link.nodeId !== undefined);
+function notifyUnconfirmed(state: ControlState): ControlStep {
+  const linkIds = listLinks(state, (link) => link.nodeId !== undefined);
   return createReduction(
     state,
     linkIds.map((linkId) => createHeartbeatAnswer(state, linkId)),
--- a/src/engine/control/common/control_report.ts
+++ b/src/engine/control/common/control_report.ts
@@ -1,4 +1,4 @@
-/** What a control replica tells operators of nodes and replicas. */
+/** Reports on nodes and replicas for operators. */
 import type { Announcement } from "../../membership/common/announcement.ts";
 import {
   listReports,
@@ -10,36 +10,46 @@
 
 /** A node as a control replica reports it. */
 export interface NodeReport extends Announcement {
-  /** Version that the node confirmed; null where that isn't known. */
+  /** Version of the table that the node confirmed; null if unknown. */
   readonly tableVersion: number | null;
-  /** Id of the replica that hears the node. */
+  /** Id of the replica to which the node is linked. */
   readonly heardBy: string;
-  /** Since the node, or the replica that hears it, was heard. */
+  /**
+   * Time since the last message of the node, or of the other replica to which
+   * it is linked, in milliseconds.
+   */
   readonly lastHeardMs: number;
+  /** Whether that time exceeds `REPORT_SILENCE_LIMIT_MS`. */
   readonly isSilent: boolean;
 }
 
-/** Another replica as this one hears it. */
+/** Another replica as known to this one. */
 export interface ReplicaReport {
   readonly id: string;
+  /** Version of the table at the replica. */
   readonly tableVersion: number;
+  /** Time since the last sign of life of the replica, in milliseconds. */
   readonly lastHeardMs: number;
   readonly isSilent: boolean;
 }
 
-/** What a control replica reports. */
+/** The report of a control replica. */
 export interface ControlReport {
+  /** Version of the table in force. */
   readonly tableVersion: number;
+  /** Whether a quorum has confirmed that the table is current. */
   readonly isTableConfirmed: boolean;
   readonly nodes: readonly NodeReport[];
   readonly replicas: readonly ReplicaReport[];
   readonly workspaces: readonly WorkspaceReport[];
 }
 
-/** Silence that is reported: more than a lost heartbeat or two. */
-export const REPORT_SILENCE_MS = 3_000;
+/**
+ * Silence above which a peer is reported as silent; tolerates lost heartbeats.
+ */
+export const REPORT_SILENCE_LIMIT_MS = 3_000;
 
-/** Creates the report at `nowMs`, over the nodes of all replicas. */
+/** Creates the report at `nowMs`; it covers the nodes of all replicas. */
 export function createControlReport(
   state: ControlState,
   nowMs: number,
@@ -52,14 +62,14 @@
       tableVersion: report.tableVersion,
       heardBy: parseReplicaId(report.owner),
       lastHeardMs: report.silentMs,
-      isSilent: report.silentMs > REPORT_SILENCE_MS,
+      isSilent: report.silentMs > REPORT_SILENCE_LIMIT_MS,
     })),
     replicas: listReplicas(state, nowMs),
     workspaces: createWorkspaceReports(state, nowMs),
   };
 }
 
-/** Of several runs of one replica, the one heard last counts. */
+/** Lists the replicas, each by its process instance that was last alive. */
 function listReplicas(
   state: ControlState,
   nowMs: number,
@@ -70,7 +80,7 @@
     const lastHeardMs = nowMs - owner.lastReceivedAtMs;
     if (lastHeardMs < (latest.get(id)?.lastHeardMs ?? Infinity)) {
       const { tableVersion } = owner;
-      const isSilent = lastHeardMs > REPORT_SILENCE_MS;
+      const isSilent = lastHeardMs > REPORT_SILENCE_LIMIT_MS;
       latest.set(id, { id, tableVersion, lastHeardMs, isSilent });
     }
   }
--- a/src/engine/control/common/control_state.ts
+++ b/src/engine/control/common/control_state.ts
@@ -20,65 +20,75 @@
 import type { Table } from "../../table/common/table_row.ts";
 import type { TimelineEvent } from "../../telemetry/common/timeline_event.ts";
 import type { HoldersState } from "./holders.ts";
-import { NO_ROUNDS } from "./routes_proof.ts";
-import type { ProofQuestion, ReadRounds } from "./routes_proof.ts";
-import type { UsageReport } from "./usage_step.ts";
+import { INITIAL_READ_ROUNDS } from "./routes_proof.ts";
+import type { ProofRequest, ReadRounds } from "./routes_proof.ts";
+import type { ReceivedUsage } from "./usage_step.ts";
 
-/** One node's link to this replica. */
+/** A node's link to this replica. */
 export interface Link {
+  /** Undefined until the node has announced itself. */
   readonly nodeId: string | undefined;
-  /** The node's own. */
+  /** The service of the node. */
   readonly service: string | undefined;
+  /** Services to whose members the node subscribes. */
   readonly services: readonly string[];
-  /** Version that the node confirmed to be in force. */
+  /** Version of the table that the node confirmed to be in force. */
   readonly tableVersion: number;
-  /** Version that was sent last; the node may not have it yet. */
+  /** Version of the table that was last sent; the node may not have it yet. */
   readonly sentVersion: number;
-  /** Wall clock in milliseconds. */
+  /** When the table was last sent; steady clock in milliseconds. */
   readonly sentAtMs: number;
-  /** Version of the routes that the node confirmed to hold. */
+  /** Version of the routes that the node confirmed. */
   readonly routesVersion: number;
-  /** Version of the routes that was sent last. */
+  /** Version of the routes that was last sent. */
   readonly sentRoutesVersion: number;
-  /** Wall clock in milliseconds. */
+  /** When the routes were last sent; steady clock in milliseconds. */
   readonly sentRoutesAtMs: number;
-  /** Proofs that the node asked for, oldest first. */
-  readonly questions: readonly ProofQuestion[];
-  /** What the node last said of its workspaces. */
-  readonly usage: UsageReport | undefined;
+  /** Outstanding requests for proofs, oldest first. */
+  readonly proofRequests: readonly ProofRequest[];
+  /** Usage last reported by the node; undefined before its first report. */
+  readonly usage: ReceivedUsage | undefined;
 }
 
-/** All that a control replica knows. */
+/** The state of a control replica that concerns its nodes. */
 export interface ControlState {
+  /** The replicated table and routes in force. */
   readonly tableState: TableState;
-  /** Whether a quorum vouched for the table. */
+  /** Whether a quorum has confirmed that the table is current. */
   readonly isTableConfirmed: boolean;
-  /** By which this replica proves that its table is current. */
+  /** Rounds of reads by which this replica proves that its table is current. */
   readonly readRounds: ReadRounds;
-  /** Earlier tables that deltas start from, oldest first. */
+  /** Earlier tables from which deltas can start, oldest first. */
   readonly recentTables: readonly Table[];
   readonly membership: MembershipState;
-  /** Whether subscribers were sent complete lists since the start. */
+  /**
+   * Whether its lists of members are complete, and subscribers were sent them.
+   */
   readonly isWarm: boolean;
+  /** Open links, by id. */
   readonly links: ReadonlyMap<number, Link>;
-  /** The nodes that keep claims, by service, as committed. */
+  /** The committed holder sets, by service. */
   readonly holders: HoldersState;
-  /** Link addresses of the replicas, where they find each other. */
+  /** Link addresses of the replicas; empty without discovery. */
   readonly replicas: readonly string[];
-  /** Undefined where limits of workspaces are not kept. */
+  /** Undefined if limits of workspaces are not enforced. */
   readonly quotaTerms: QuotaTerms | undefined;
+  /** Steady clock in milliseconds. */
   readonly startedAtMs: number;
-  /** What other replicas last said of their nodes, by replica. */
+  /**
+   * Usage and number of nodes last reported by other replicas, by replica id.
+   */
   readonly usageDigests: ReadonlyMap<
     string,
-    UsageReport & { readonly nodes: number }
+    ReceivedUsage & { readonly nodes: number }
   >;
-  readonly usageSaidAtMs: number;
-  /** What the nodes were last told; undefined: nothing yet. */
-  readonly toldShares: readonly WorkspaceShare[] | undefined;
+  /** When usage was last sent to the replicas; steady clock in milliseconds. */
+  readonly usageSentAtMs: number;
+  /** Shares last sent to the nodes; undefined before the first ones. */
+  readonly sentShares: readonly WorkspaceShare[] | undefined;
 }
 
-/** What happens at a control replica. */
+/** An event at a control replica. */
 export type ControlEvent =
   | {
     readonly type: "NodeMessageReceived";
@@ -91,28 +101,28 @@
     readonly message: PresenceMessage;
   }
   | { readonly type: "LinkClosed"; readonly linkId: number }
-  /** The replicated table moved on, or what vouches for it changed. */
+  /** The replicated table, or its confirmation, changed. */
   | {
     readonly type: "TableReplaced";
     readonly tableState: TableState;
-    /** Whether a quorum vouched for it lately. */
+    /** Whether the confirmation by a quorum is recent enough. */
     readonly isCurrent: boolean;
   }
-  /** A round of reads began, or was confirmed. */
+  /** A round of reads was started or confirmed. */
   | { readonly type: "RoundsReplaced"; readonly readRounds: ReadRounds }
-  /** Committed changes of the holder sets. */
+  /** The committed holder sets changed. */
   | { readonly type: "HoldersReplaced"; readonly holders: HoldersState }
   | { readonly type: "DrainOrdered"; readonly nodeId: string }
   | { readonly type: "Ticked" };
 
-/** What a control replica does about it. */
+/** An effect of a control replica. */
 export type ControlEffect =
   | {
     readonly type: "SendToLink";
     readonly linkId: number;
     readonly message: OutboundMessage;
   }
-  /** To every other replica that is linked. */
+  /** Sends to every other replica that is linked. */
   | { readonly type: "SendToReplicas"; readonly message: PresenceMessage }
   | {
     readonly type: "SendToReplica";
@@ -121,10 +131,10 @@
   }
   | { readonly type: "RecordEvent"; readonly event: TimelineEvent };
 
-/** A step of a control replica. */
+/** A state of a control replica and the effects of reaching it. */
 export type ControlStep = Reduction<ControlState, ControlEffect>;
 
-/** A link that said nothing yet. */
+/** A link on which nothing was received yet. */
 export const NEW_LINK: Link = {
   nodeId: undefined,
   service: undefined,
@@ -135,11 +145,14 @@
   routesVersion: 0,
   sentRoutesVersion: 0,
   sentRoutesAtMs: 0,
-  questions: [],
+  proofRequests: [],
   usage: undefined,
 };
 
-/** Creates a replica that knows nothing yet. */
+/**
+ * Creates the initial state of a replica that starts at `nowMs`, the steady
+ * clock.
+ */
 export function createControl(
   replicaId: string,
   nowMs: number,
@@ -148,7 +161,7 @@
   return {
     tableState: INITIAL_TABLE_STATE,
     isTableConfirmed: false,
-    readRounds: NO_ROUNDS,
+    readRounds: INITIAL_READ_ROUNDS,
     recentTables: [],
     membership: createMembership(replicaId, nowMs),
     isWarm: false,
@@ -158,12 +171,12 @@
     quotaTerms,
     startedAtMs: nowMs,
     usageDigests: new Map(),
-    usageSaidAtMs: 0,
-    toldShares: undefined,
+    usageSentAtMs: 0,
+    sentShares: undefined,
   };
 }
 
-/** Changes what is known of a link. */
+/** Updates fields of a link; creates the link if it is unknown. */
 export function updateLink(
   state: ControlState,
   linkId: number,
@@ -173,17 +186,17 @@
   return { ...state, links: setEntry(state.links, linkId, link) };
 }
 
-/** Finds links by what is known of them. */
-export function findLinks(
+/** Lists the ids of the links that match a predicate. */
+export function listLinks(
   state: ControlState,
-  isWanted: (link: Link) => boolean,
+  predicate: (link: Link) => boolean,
 ): readonly number[] {
   return [...state.links]
-    .filter(([, link]) => isWanted(link))
+    .filter(([, link]) => predicate(link))
     .map(([linkId]) => linkId);
 }
 
-/** Creates the effect that sends on a link. */
+/** Creates the effect that sends a message on a link. */
 export function createSend(
   linkId: number,
   message: OutboundMessage,
--- a/src/engine/control/common/edit_requests.ts
+++ b/src/engine/control/common/edit_requests.ts
@@ -1,4 +1,4 @@
-/** What becomes of edits: committed, tried again or refused. */
+/** Completion of edits: they are committed, retried or refused. */
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 import {
   chainReduction,
@@ -22,23 +22,23 @@
   const outcome = state.tableState.answers.get(pending.edit.editId);
   return outcome === undefined
     ? createReduction(state)
-    : settleEdit(state, requestId, { type: "EditAnswered", outcome });
+    : answerEdit(state, requestId, { type: "EditAnswered", outcome });
 }
 
-/** Takes the leader's answer to an edit that was forwarded. */
+/** Receives the leader's answer to a forwarded edit. */
 export function receiveReply(
   state: ReplicationState,
   reply: EditReply,
 ): ReplicationStep {
   const { requestId, result } = reply;
   return result.type === "EditAnswered"
-    ? settleEdit(state, requestId, result)
+    ? answerEdit(state, requestId, result)
     : retryEdit(state, requestId, result);
 }
 
 /**
- * Has an edit wait for a leader again: its id makes a second attempt harmless.
- * One that came from another replica goes back there.
+ * Makes an edit wait for a leader again; its id makes the edit idempotent. An
+ * edit forwarded by another replica is refused, and that replica retries it.
  */
 export function retryEdit(
   state: ReplicationState,
@@ -51,7 +51,7 @@
   }
   const isUnknown = pending.isUnknown || failure.isUnknown;
   if (pending.origin.type === "Peer") {
-    return settleEdit(state, requestId, { type: "EditRefused", isUnknown });
+    return answerEdit(state, requestId, { type: "EditRefused", isUnknown });
   }
   const next = { ...pending, sentTo: undefined, isUnknown };
   return createReduction({
@@ -60,16 +60,18 @@
   });
 }
 
-/** Refuses the edits whose time is up. */
+/** Refuses the edits that have reached their deadline. */
 export function expireEdits(
   state: ReplicationState,
   nowMs: number,
 ): ReplicationStep {
-  const late = [...state.edits].filter(([, edit]) => edit.deadlineMs <= nowMs);
-  return late.reduce<ReplicationStep>(
+  const expired = [...state.edits].filter(([, edit]) =>
+    edit.deadlineMs <= nowMs
+  );
+  return expired.reduce<ReplicationStep>(
     (step, [requestId, { isUnknown, sentTo }]) =>
       chainReduction(step, (s) =>
-        settleEdit(s, requestId, {
+        answerEdit(s, requestId, {
           type: "EditRefused",
           isUnknown: isUnknown || sentTo !== undefined,
         })),
@@ -77,7 +79,7 @@
   );
 }
 
-function settleEdit(
+function answerEdit(
   state: ReplicationState,
   requestId: string,
   result: EditResult,
--- a/src/engine/control/common/edit_sending.ts
+++ b/src/engine/control/common/edit_sending.ts
@@ -1,4 +1,4 @@
-/** Edits on their way to the leader, from any replica. */
+/** Sends edits received by any replica to the leader. */
 import { setEntry } from "../../../base/common/maps.ts";
 import {
   chainReduction,
@@ -10,10 +10,10 @@
 import { retryEdit } from "./edit_requests.ts";
 import { encodeCommand } from "./replicated_codec.ts";
 import {
-  getRequestId,
-  getSettingsId,
-  REQUEST_MS,
-  RESEND_MS,
+  createRequestId,
+  FORWARD_RETRY_MS,
+  parseSettingsId,
+  REQUEST_TIMEOUT_MS,
 } from "./replication_state.ts";
 import type {
   EditOrigin,
@@ -22,16 +22,16 @@
   ReplicationStep,
 } from "./replication_state.ts";
 
-/** Takes an edit and sends it on its way. */
+/** Accepts an edit and sends it to the leader, if one is known. */
 export function startEdit(
   state: ReplicationState,
   request: { readonly edit: TableEdit; readonly origin: EditOrigin },
   nowMs: number,
 ): ReplicationStep {
-  const requestId = getRequestId(state);
+  const requestId = createRequestId(state);
   const pending: PendingEdit = {
     ...request,
-    deadlineMs: nowMs + REQUEST_MS,
+    deadlineMs: nowMs + REQUEST_TIMEOUT_MS,
     sentTo: undefined,
     sentAtMs: nowMs,
     isUnknown: false,
@@ -41,21 +41,24 @@
   return sendEdit(next, requestId, nowMs);
 }
 
-/** Sends the edits on their way that wait, or that a leader didn't answer. */
-export function resumeEdits(
+/** Sends the edits that wait for a leader, or that a leader didn't answer. */
+export function sendDueEdits(
   state: ReplicationState,
   nowMs: number,
 ): ReplicationStep {
-  const waiting = [...state.edits]
+  const due = [...state.edits]
     .filter(([, edit]) => isDue(state, edit, nowMs));
-  return waiting.reduce<ReplicationStep>(
+  return due.reduce<ReplicationStep>(
     (step, [requestId]) =>
       chainReduction(step, (s) => sendEdit(s, requestId, nowMs)),
     createReduction(state),
   );
 }
 
-/** A proposal of this replica's own is always answered by consensus. */
+/**
+ * Whether an edit must be sent (again). One proposed by this replica itself
+ * never is: consensus always answers it.
+ */
 function isDue(
   state: ReplicationState,
   { sentTo, sentAtMs }: PendingEdit,
@@ -65,7 +68,7 @@
     return sentTo === undefined;
   }
   return sentTo !== findLeader(state.consensus) ||
-    nowMs - sentAtMs >= RESEND_MS;
+    nowMs - sentAtMs >= FORWARD_RETRY_MS;
 }
 
 function sendEdit(
@@ -97,7 +100,7 @@
   const from = state.cluster.self;
   return createReduction(next, [{
     type: "SendToPeer",
-    peer: getSettingsId(leaderId),
+    peer: parseSettingsId(leaderId),
     message: { type: "EditForward", requestId, from, edit },
   }]);
 }
--- a/src/engine/control/common/founding.ts
+++ b/src/engine/control/common/founding.ts
@@ -1,4 +1,4 @@
-/** Founds the replica set: once, and only while every voter is empty. */
+/** Bootstraps the replica set: once, and only while every voter is empty. */
 import { createReduction } from "../../../base/common/reduction.ts";
 import { createFoundingSnapshot } from "../../consensus/common/recovery.ts";
 import type { Configuration } from "../../consensus/common/log_types.ts";
@@ -8,25 +8,26 @@
   ReplicationStep,
 } from "./replication_state.ts";
 
-/** Whether nothing was ever written: no vote, no entry, no snapshot. */
+/** Whether nothing was ever written to the disk: no vote, entry or snapshot. */
 export function isEmpty({ consensus }: ReplicationState): boolean {
   return consensus.term === 0 && consensus.snapshot === undefined &&
     consensus.log.entries.length === 0 && consensus.log.baseIndex === 0;
 }
 
 /**
- * The first voter founds the set once all others were heard and are as empty
- * as itself. A replica whose disk was wiped never does: another voter says
- * that it is not empty, or is silent.
+ * Bootstraps the set if this replica is the first voter, is empty, and all
+ * other voters have reported that they are empty. A replica whose disk was
+ * wiped never bootstraps: another voter is silent, or reports that it is not
+ * empty.
  */
-export function foundCluster(state: ReplicationState): ReplicationStep {
-  const { cluster, consensus, isStoringFounding } = state;
+export function bootstrapCluster(state: ReplicationState): ReplicationStep {
+  const { cluster, consensus, isStoringBootstrap } = state;
   const { voters, self } = cluster;
   const others = voters.filter((id) => id !== self)
     .map((id) => state.peers.get(id));
-  const isFounder = voters[0] === self && isEmpty(state) &&
-    !isStoringFounding && others.every(isReady);
-  if (!isFounder) {
+  const canBootstrap = voters[0] === self && isEmpty(state) &&
+    !isStoringBootstrap && others.every(isEmptyAndAlive);
+  if (!canBootstrap) {
     return createReduction(state);
   }
   const ids = others.map((peer) => peer!.replicaId!);
@@ -34,23 +35,24 @@
     voters: [consensus.replicaId, ...ids],
     learners: [],
   };
-  return createReduction({ ...state, isStoringFounding: true }, [
+  return createReduction({ ...state, isStoringBootstrap: true }, [
     { type: "StoreFounding", configuration },
   ]);
 }
 
 /**
- * Begins to count, once the founding snapshot is synced. The others get it from
- * the first leader; a vote alone makes them anything but empty.
+ * Joins the set as a voter once the bootstrap snapshot is synced to disk. The
+ * other voters receive it from the first leader; from their first vote on they
+ * are no longer empty.
  */
-export function finishFounding(
+export function finishBootstrap(
   state: ReplicationState,
   configuration: Configuration,
 ): ReplicationState {
   const snapshot = createFoundingSnapshot(configuration, new Uint8Array());
   return {
     ...state,
-    isStoringFounding: false,
+    isStoringBootstrap: false,
     voters: configuration.voters,
     consensus: {
       ...state.consensus,
@@ -61,6 +63,6 @@
   };
 }
 
-function isReady(peer: Peer | undefined): boolean {
+function isEmptyAndAlive(peer: Peer | undefined): boolean {
   return peer?.replicaId !== undefined && peer.isEmpty && !peer.isSilent;
 }
--- a/src/engine/control/common/holder_planning.ts
+++ b/src/engine/control/common/holder_planning.ts
@@ -1,4 +1,6 @@
-/** What the leader proposes for the holder sets, from presence as it sees it. */
+/**
+ * Plans the holder sets that the leader proposes, from its state of presence.
+ */
 import {
   hasHolders,
   planHolders,
@@ -10,19 +12,19 @@
 import type { HoldersState } from "./holders.ts";
 
 /**
- * Plans the changes that the sets need. Until its list of nodes is complete a
- * replica may found and enlarge sets, but takes no holder for lost.
+ * Plans the changes that the sets need. Until its list of nodes is complete, a
+ * replica may create and enlarge sets, but considers no holder lost.
  */
-export function planChanges(
+export function planHolderChanges(
   control: ControlState,
   holders: HoldersState,
 ): readonly HolderCommand[] {
-  return [...collectServices(control)].flatMap(([service, nodes]) => {
+  return [...collectMembers(control)].flatMap(([service, nodes]) => {
     const current = holders.get(service);
     const members = planHolders(current, nodes, service);
-    const staying = (current?.proposed ?? current?.active)?.members ?? [];
+    const retained = (current?.proposed ?? current?.active)?.members ?? [];
     const isAllowed = members !== undefined &&
-      (control.isWarm || hasHolders(members, staying));
+      (control.isWarm || hasHolders(members, retained));
     const fromEpoch = current?.lastEpoch ?? 0;
     return isAllowed
       ? [{ type: "HolderSetProposed", service, members, fromEpoch }]
@@ -30,8 +32,11 @@
   });
 }
 
-/** Reads a node's report as the command that it comes to. */
-export function readCopy(
+/**
+ * Creates the command for a node's report that it has copied a set; undefined
+ * if the node is no member.
+ */
+export function createCopiedCommand(
   control: ControlState,
   linkId: number,
   report: Extract<NodeMessage, { type: "ReportCopied" }>,
@@ -46,14 +51,14 @@
   return { type: "HolderCopied", service, epoch, nodeId, incarnation };
 }
 
-function collectServices(
+function collectMembers(
   { membership }: ControlState,
 ): ReadonlyMap<string, readonly Announcement[]> {
-  const groups = new Map<string, Announcement[]>();
+  const membersByService = new Map<string, Announcement[]>();
   for (const { announcement } of membership.members.values()) {
-    const group = groups.get(announcement.service) ?? [];
-    group.push(announcement);
-    groups.set(announcement.service, group);
+    const members = membersByService.get(announcement.service) ?? [];
+    members.push(announcement);
+    membersByService.set(announcement.service, members);
   }
-  return groups;
+  return membersByService;
 }
--- a/src/engine/control/common/holder_proposals.ts
+++ b/src/engine/control/common/holder_proposals.ts
@@ -1,19 +1,20 @@
-/** Changes of the holder sets on their way into the replicated log. */
+/** Proposes changes of the holder sets to the replicated log. */
 import { setEntry } from "../../../base/common/maps.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { HolderCommand } from "../../claims/common/holder_set_reducer.ts";
 import { findLeader } from "../../consensus/common/term.ts";
 import { stepConsensus } from "./consensus_step.ts";
-import { commitHolders } from "./holders.ts";
+import { updateHolders } from "./holders.ts";
 import { encodeCommand } from "./replicated_codec.ts";
-import { getRequestId, getSettingsId } from "./replication_state.ts";
+import { createRequestId, parseSettingsId } from "./replication_state.ts";
 import type { ReplicationState, ReplicationStep } from "./replication_state.ts";
 
 /**
- * Proposes a command where this replica leads, else forwards it to who does.
- * It may be lost on the way: a node reports, and the leader plans, again.
+ * Proposes a command if this replica is the leader, or forwards it to the
+ * leader. The command may be lost: nodes report, and the leader plans,
+ * repeatedly.
  */
-export function startHolderCommand(
+export function requestHolderChange(
   state: ReplicationState,
   command: HolderCommand,
   nowMs: number,
@@ -22,25 +23,25 @@
   if (leaderId === undefined || leaderId === state.consensus.replicaId) {
     return proposeCommand(state, command, nowMs);
   }
-  const peer = getSettingsId(leaderId);
+  const peer = parseSettingsId(leaderId);
   const message = { type: "HolderForward", command } as const;
   return createReduction(state, [{ type: "SendToPeer", peer, message }]);
 }
 
-/** Proposes a command, unless it changes nothing or is on its way already. */
+/** Proposes a command, unless it changes nothing or is already proposed. */
 export function proposeCommand(
   state: ReplicationState,
   command: HolderCommand,
   nowMs: number,
 ): ReplicationStep {
-  const name = createName(command);
+  const name = createProposalName(command);
   const isNeeded = state.consensus.role.type === "Leader" &&
-    commitHolders(state.holders, command) !== state.holders &&
+    updateHolders(state.holders, command) !== state.holders &&
     ![...state.holderProposals.values()].includes(name);
   if (!isNeeded) {
     return createReduction(state);
   }
-  const requestId = getRequestId(state);
+  const requestId = createRequestId(state);
   const next: ReplicationState = {
     ...state,
     holderProposals: setEntry(state.holderProposals, requestId, name),
@@ -51,7 +52,7 @@
   return stepConsensus(next, event, nowMs);
 }
 
-function createName(command: HolderCommand): string {
+function createProposalName(command: HolderCommand): string {
   const { type, service } = command;
   switch (type) {
     case "HolderSetProposed":
--- a/src/engine/control/common/holder_push.ts
+++ b/src/engine/control/common/holder_push.ts
@@ -1,4 +1,4 @@
-/** Brings the holder sets that are committed to the nodes linked here. */
+/** Pushes the committed holder sets to the nodes linked to this replica. */
 import { createReduction } from "../../../base/common/reduction.ts";
 import { createSend } from "./control_state.ts";
 import type {
@@ -8,7 +8,7 @@
 } from "./control_state.ts";
 import type { HoldersState } from "./holders.ts";
 
-/** Takes the committed sets, and tells the nodes what changed. */
+/** Replaces the committed sets, and sends the nodes those that changed. */
 export function replaceHolders(
   state: ControlState,
   holders: HoldersState,
@@ -22,8 +22,8 @@
   return createReduction(next, effects);
 }
 
-/** Tells one node the sets of its service. */
-export function tellHolders(state: ControlState, linkId: number): ControlStep {
+/** Sends one node the sets of its service. */
+export function sendHolders(state: ControlState, linkId: number): ControlStep {
   return createReduction(state, createUpdate(state, linkId));
 }
 
--- a/src/engine/control/common/holder_settling.ts
+++ b/src/engine/control/common/holder_settling.ts
@@ -1,9 +1,12 @@
-/** What becomes of changes of the holder sets that were proposed. */
+/** Completion of proposed changes of the holder sets. */
 import { deleteEntry } from "../../../base/common/maps.ts";
 import type { ReplicationState } from "./replication_state.ts";
 
-/** What was proposed is committed, or has failed: it may be proposed again. */
-export function settleProposal(
+/**
+ * Removes a proposal that is committed or has failed, so that it can be
+ * repeated.
+ */
+export function removeProposal(
   state: ReplicationState,
   requestId: string,
 ): ReplicationState {
--- a/src/engine/control/common/holders.ts
+++ b/src/engine/control/common/holders.ts
@@ -1,4 +1,7 @@
-/** The holder sets of all services, as the replicated log makes them. */
+/**
+ * The holder sets of all services, as determined by the replicated log. A
+ * holder is a node that stores the claims of its service's keys.
+ */
 import { setEntry } from "../../../base/common/maps.ts";
 import { applyHolderCommand } from "../../claims/common/holder_set_reducer.ts";
 import type {
@@ -9,13 +12,14 @@
 /** The holder sets by service. */
 export type HoldersState = ReadonlyMap<string, ServiceHolders>;
 
-/** What operators see of one service's holders. */
+/** The holders of one service, as reported to operators. */
 export interface HolderReport {
   readonly service: string;
+  /** Number of the active set; it increases with each set. */
   readonly epoch: number;
-  /** Node ids. */
+  /** Node ids of the active set. */
   readonly members: readonly string[];
-  /** Whether another set is copying, to take its place. */
+  /** Whether a proposed set is copying the claims in order to replace it. */
   readonly isChanging: boolean;
 }
 
@@ -29,8 +33,8 @@
   }));
 }
 
-/** Applies a command; one that changes nothing returns the same state. */
-export function commitHolders(
+/** Applies a command; returns the same object if it changes nothing. */
+export function updateHolders(
   holders: HoldersState,
   command: HolderCommand,
 ): HoldersState {
--- a/src/engine/control/common/peer_discovery.ts
+++ b/src/engine/control/common/peer_discovery.ts
@@ -1,7 +1,7 @@
-/** How replicas learn of each other, where no settings list them. */
+/** Discovery of replicas that aren't listed in the settings. */
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { ReplicaHello } from "../../link/common/cluster_messages.ts";
-import { FORGET_PEER_MS, getSettingsId } from "./replication_state.ts";
+import { parseSettingsId, PEER_RETENTION_MS } from "./replication_state.ts";
 import type {
   Peer,
   ReplicationEffect,
@@ -9,7 +9,7 @@
   ReplicationStep,
 } from "./replication_state.ts";
 
-/** Creates a replica of which nothing was heard yet. */
+/** Creates the state of a replica from which no hello was received yet. */
 export function createPeer(nowMs: number): Peer {
   return {
     replicaId: undefined,
@@ -17,13 +17,13 @@
     role: "joining",
     term: 0,
     commitIndex: 0,
-    heardAtMs: nowMs,
+    lastReceivedAtMs: nowMs,
     isSilent: false,
   };
 }
 
-/** Adds the sender of a hello, and those that it knows, to the peers. */
-export function learnPeers(
+/** Adds the sender of a hello, and the replicas that it knows, to the peers. */
+export function addHelloPeers(
   state: ReplicationState,
   hello: ReplicaHello,
   nowMs: number,
@@ -31,7 +31,7 @@
   return addPeers(state, [hello.id, ...hello.known ?? []], nowMs);
 }
 
-/** Adds replicas to ask, where they find each other. */
+/** Adds peers and opens links to them; has no effect without discovery. */
 export function addPeers(
   state: ReplicationState,
   ids: readonly string[],
@@ -41,28 +41,31 @@
   if (cluster.discovery === undefined) {
     return createReduction(state);
   }
-  const found = ids
+  const added = ids
     .filter((id) => id !== cluster.self && !state.peers.has(id));
-  if (found.length === 0) {
+  if (added.length === 0) {
     return createReduction(state);
   }
   const peers = new Map(state.peers);
-  found.forEach((id) => peers.set(id, createPeer(nowMs)));
+  added.forEach((id) => peers.set(id, createPeer(nowMs)));
   return createReduction(
     { ...state, peers },
-    found.map((peer): ReplicationEffect => ({ type: "LinkPeer", peer })),
+    added.map((peer): ReplicationEffect => ({ type: "LinkPeer", peer })),
   );
 }
 
-/** Lists the replicas that this one has heard lately. */
-export function listHeardPeers(state: ReplicationState): readonly string[] {
+/** Lists the ids of the peers that have sent a hello and are not silent. */
+export function listAlivePeers(state: ReplicationState): readonly string[] {
   return [...state.peers]
     .filter(([, peer]) => !peer.isSilent && peer.replicaId !== undefined)
     .map(([id]) => id);
 }
 
-/** Forgets replicas that are silent for long and belong to no set. */
-export function forgetPeers(
+/**
+ * Removes the peers that have been silent for `PEER_RETENTION_MS` and are
+ * neither in the replica set nor listed in the settings.
+ */
+export function removeSilentPeers(
   state: ReplicationState,
   nowMs: number,
 ): ReplicationStep {
@@ -71,20 +74,20 @@
     return createReduction(state);
   }
   const { voters, learners } = consensus.configuration;
-  const members = new Set([...voters, ...learners].map(getSettingsId));
-  const gone = [...peers]
+  const members = new Set([...voters, ...learners].map(parseSettingsId));
+  const removed = [...peers]
     .filter(([id, peer]) =>
-      nowMs - peer.heardAtMs > FORGET_PEER_MS && !members.has(id) &&
+      nowMs - peer.lastReceivedAtMs > PEER_RETENTION_MS && !members.has(id) &&
       !cluster.peers.includes(id)
     )
     .map(([id]) => id);
-  if (gone.length === 0) {
+  if (removed.length === 0) {
     return createReduction(state);
   }
-  const kept = new Map(peers);
-  gone.forEach((id) => kept.delete(id));
+  const remaining = new Map(peers);
+  removed.forEach((id) => remaining.delete(id));
   return createReduction(
-    { ...state, peers: kept },
-    gone.map((peer): ReplicationEffect => ({ type: "UnlinkPeer", peer })),
+    { ...state, peers: remaining },
+    removed.map((peer): ReplicationEffect => ({ type: "UnlinkPeer", peer })),
   );
 }
--- a/src/engine/control/common/presence_step.ts
+++ b/src/engine/control/common/presence_step.ts
@@ -1,4 +1,6 @@
-/** Folds presence into a control replica: subscribers and other replicas. */
+/**
+ * Steps presence, and notifies subscribers and other replicas of its changes.
+ */
 import {
   appendEffects,
   chainReduction,
@@ -16,15 +18,15 @@
   PresenceChannel,
   PresenceMessage,
 } from "../../membership/common/presence_messages.ts";
-import { noteDigest } from "./usage_step.ts";
-import { createSend, findLinks } from "./control_state.ts";
+import { recordUsageDigest } from "./usage_step.ts";
+import { createSend, listLinks } from "./control_state.ts";
 import type {
   ControlEffect,
   ControlState,
   ControlStep,
 } from "./control_state.ts";
 
-/** Steps presence and publishes what came of it. */
+/** Steps presence and publishes its changes. */
 export function stepMembership(
   state: ControlState,
   event: MembershipEvent,
@@ -33,12 +35,12 @@
   const step = reduceMembership(state.membership, event, nowMs);
   const next = { ...state, membership: step.state };
   const effects = step.effects.flatMap((effect) =>
-    publish(state, next, effect)
+    createNotifications(state, next, effect)
   );
   return createReduction(next, effects);
 }
 
-/** Takes a message of another replica. */
+/** Receives a message of another replica. */
 export function receiveReplica(
   state: ControlState,
   received: {
@@ -52,7 +54,7 @@
     return createReduction(state, sendDrainOrder(state, message.nodeId));
   }
   if (message.type === "UsageDigest") {
-    return createReduction(noteDigest(state, message, nowMs));
+    return createReduction(recordUsageDigest(state, message, nowMs));
   }
   const event = { type: "PresenceReceived", channel, message } as const;
   const step = stepMembership(state, event, nowMs);
@@ -61,7 +63,9 @@
     : step;
 }
 
-/** Creates the answer that shows the other end that this one lives. */
+/**
+ * Creates the answer to a heartbeat, which proves that this replica is alive.
+ */
 export function createHeartbeatAnswer(
   state: ControlState,
   linkId: number,
@@ -74,8 +78,8 @@
   });
 }
 
-/** Orders a drain here and, through the other replicas, elsewhere. */
-export function orderDrain(state: ControlState, nodeId: string): ControlStep {
+/** Sends a drain order to a node, directly or through the other replicas. */
+export function requestDrain(state: ControlState, nodeId: string): ControlStep {
   const message: PresenceMessage = { type: "DrainRelay", nodeId };
   return createReduction(state, [
     ...sendDrainOrder(state, nodeId),
@@ -83,7 +87,9 @@
   ]);
 }
 
-/** Ticks presence; once the replica is warm its lists are complete. */
+/**
+ * Ticks presence; sends complete lists to subscribers once the replica is warm.
+ */
 export function tickMembership(
   state: ControlState,
   nowMs: number,
@@ -104,7 +110,7 @@
   });
 }
 
-/** Creates the list that a new subscriber is sent. */
+/** Creates the list of members that a new subscriber is sent. */
 export function createMemberList(
   state: ControlState,
   service: string,
@@ -118,7 +124,7 @@
   };
 }
 
-function publish(
+function createNotifications(
   before: ControlState,
   state: ControlState,
   effect: MembershipEffect,
@@ -163,7 +169,7 @@
   service: string,
   message: ControlMessage,
 ): readonly ControlEffect[] {
-  return findLinks(state, (link) => link.services.includes(service))
+  return listLinks(state, (link) => link.services.includes(service))
     .map((linkId) => createSend(linkId, message));
 }
 
@@ -171,6 +177,6 @@
   state: ControlState,
   nodeId: string,
 ): readonly ControlEffect[] {
-  return findLinks(state, (link) => link.nodeId === nodeId)
+  return listLinks(state, (link) => link.nodeId === nodeId)
     .map((linkId) => createSend(linkId, { type: "DrainOrder" }));
 }
--- a/src/engine/control/common/read_sending.ts
+++ b/src/engine/control/common/read_sending.ts
@@ -1,4 +1,4 @@
-/** Linearizable reads of the table, and the proof that it is current. */
+/** Starts linearizable reads of the table, and confirms that it is current. */
 import { setEntry } from "../../../base/common/maps.ts";
 import {
   chainReduction,
@@ -7,9 +7,9 @@
 import { findLeader } from "../../consensus/common/term.ts";
 import { stepConsensus } from "./consensus_step.ts";
 import {
-  CONFIRM_EVERY_MS,
-  getRequestId,
-  REQUEST_MS,
+  CONFIRM_INTERVAL_MS,
+  createRequestId,
+  REQUEST_TIMEOUT_MS,
 } from "./replication_state.ts";
 import type {
   PendingTableRead,
@@ -23,10 +23,10 @@
   operatorRequestId: number,
   nowMs: number,
 ): ReplicationStep {
-  const requestId = getRequestId(state);
+  const requestId = createRequestId(state);
   const read: PendingTableRead = {
     requestId: operatorRequestId,
-    deadlineMs: nowMs + REQUEST_MS,
+    deadlineMs: nowMs + REQUEST_TIMEOUT_MS,
     isWaiting: true,
   };
   const reads = setEntry(state.reads, requestId, read);
@@ -34,8 +34,8 @@
   return sendRead(next, requestId, nowMs);
 }
 
-/** Sends the reads that wait for a leader on their way. */
-export function resumeReads(
+/** Sends the reads that wait for a leader. */
+export function sendWaitingReads(
   state: ReplicationState,
   nowMs: number,
 ): ReplicationStep {
@@ -47,31 +47,37 @@
   );
 }
 
-/** Has the next proof begin as soon as it can. */
+/** Requests that the next confirmation start as soon as possible. */
 export function requestConfirmation(state: ReplicationState): ReplicationState {
-  const confirmation = { ...state.confirmation, isWanted: true };
+  const confirmation = { ...state.confirmation, isRequested: true };
   return { ...state, confirmation };
 }
 
-/** Proves anew that the table is current, where that is due. */
+/** Starts a read that confirms that the table is current, if one is due. */
 export function renewConfirmation(
   state: ReplicationState,
   nowMs: number,
 ): ReplicationStep {
-  const { requestId, startedAtMs, confirmedAtMs, isWanted, rounds } =
-    state.confirmation;
-  const everyMs = state.cluster.discovery?.confirmEveryMs ?? CONFIRM_EVERY_MS;
-  const isDue = isWanted || confirmedAtMs === undefined ||
-    Math.abs(nowMs - startedAtMs) >= everyMs;
+  const {
+    requestId,
+    startedAtMs,
+    confirmedAtMs,
+    isRequested,
+    rounds,
+  } = state.confirmation;
+  const intervalMs = state.cluster.discovery?.confirmEveryMs ??
+    CONFIRM_INTERVAL_MS;
+  const isDue = isRequested || confirmedAtMs === undefined ||
+    Math.abs(nowMs - startedAtMs) >= intervalMs;
   if (requestId !== undefined || !isDue || !hasLeader(state)) {
     return createReduction(state);
   }
-  const id = getRequestId(state);
+  const id = createRequestId(state);
   const confirmation = {
     requestId: id,
     startedAtMs: nowMs,
     confirmedAtMs,
-    isWanted: false,
+    isRequested: false,
     rounds: { ...rounds, started: rounds.started + 1 },
   };
   const next = { ...state, confirmation, nextRequest: state.nextRequest + 1 };
--- a/src/engine/control/common/replica_reducer.ts
+++ b/src/engine/control/common/replica_reducer.ts
@@ -1,4 +1,7 @@
-/** The root reducer of the control role: the table's replica and its nodes. */
+/**
+ * The root reducer of the control role: replication of the table, and its
+ * nodes.
+ */
 import {
   chainReduction,
   createReduction,
@@ -12,8 +15,8 @@
   ControlEvent,
   ControlState,
 } from "./control_state.ts";
-import { planChanges, readCopy } from "./holder_planning.ts";
-import { listHeardPeers } from "./peer_discovery.ts";
+import { createCopiedCommand, planHolderChanges } from "./holder_planning.ts";
+import { listAlivePeers } from "./peer_discovery.ts";
 import {
   reduceReplication,
   restoreReplication,
@@ -26,24 +29,24 @@
   ReplicationState,
 } from "./replication_state.ts";
 
-/** All that a control process knows. */
+/** The state of a control process. */
 export interface ReplicaState {
   readonly control: ControlState;
   readonly replication: ReplicationState;
-  /** The peers that the nodes were told of last. */
+  /** The peers of which the nodes were last notified. */
   readonly publishedPeers?: ReplicationState["peers"];
 }
 
-/** What happens at a control process. */
+/** An event at a control process. */
 export type ReplicaEvent = ControlEvent | ReplicationEvent;
 
-/** What a control process does about it. */
+/** An effect of a control process. */
 export type ReplicaEffect = ControlEffect | ReplicationEffect;
 
-/** A step of a control process. */
+/** A state of a control process and the effects of reaching it. */
 export type ReplicaStep = Reduction<ReplicaState, ReplicaEffect>;
 
-/** Creates a control process from what its disk holds. */
+/** Creates the state of a control process from the contents of its disk. */
 export function createReplica(options: ReplicationOptions): ReplicaState {
   return {
     control: createControl(
@@ -56,9 +59,9 @@
 }
 
 /**
- * Steps a control process; `nowMs` is the wall clock in milliseconds. What the
- * nodes are told is brought up to date on both sides of the event, so that a
- * process that was frozen never passes its table off as current.
+ * Applies an event; `nowMs` is the steady clock in milliseconds. The replicated
+ * state is published to the nodes both before and after the event, so that a
+ * process that was suspended never presents its table as current.
  */
 export function reduceReplica(
   state: ReplicaState,
@@ -86,17 +89,17 @@
     case "SeedsLearned":
     case "StopPlanned":
     case "ReplicationTicked": {
-      const done = reduceReplication(state.replication, event, nowMs);
-      const next = { ...state, replication: done.state };
-      return createReduction(next, done.effects);
+      const result = reduceReplication(state.replication, event, nowMs);
+      const next = { ...state, replication: result.state };
+      return createReduction(next, result.effects);
     }
     default: {
-      const done = reduceControl(state.control, event, nowMs);
-      const next = { ...state, control: done.state };
+      const result = reduceControl(state.control, event, nowMs);
+      const next = { ...state, control: result.state };
       return chainReduction(
         chainReduction(
-          createReduction<ReplicaState, ReplicaEffect>(next, done.effects),
-          (s) => requestChanges(s, event, nowMs),
+          createReduction<ReplicaState, ReplicaEffect>(next, result.effects),
+          (s) => requestHolderChanges(s, event, nowMs),
         ),
         (s) => requestProof(s, event, nowMs),
       );
@@ -104,7 +107,10 @@
   }
 }
 
-/** A round that begins now answers the question that has just come. */
+/**
+ * Starts a round of reads for an urgent request for a proof: a round that
+ * starts now can answer it.
+ */
 function requestProof(
   state: ReplicaState,
   event: ControlEvent,
@@ -117,17 +123,20 @@
     : createReduction(state);
 }
 
-/** Requests what a node's report, or presence as it is now, comes to. */
-function requestChanges(
+/**
+ * Requests the changes of holders that follow from a node's report or from
+ * presence.
+ */
+function requestHolderChanges(
   state: ReplicaState,
   event: ControlEvent,
   nowMs: number,
 ): ReplicaStep {
-  const commands = listChanges(state, event, nowMs);
+  const commands = listHolderCommands(state, event, nowMs);
   return commands.reduce<ReplicaStep>(
-    (done, command) =>
+    (result, command) =>
       chainReduction(
-        done,
+        result,
         (s) => step(s, { type: "HolderChangeRequested", command }, nowMs),
       ),
     createReduction(state),
@@ -135,10 +144,11 @@
 }
 
 /**
- * The leader plans at each tick, so that changes of its own nodes, of those of
- * other replicas and of the leader itself all come to the same.
+ * Lists the changes of holders that follow from an event. The leader plans at
+ * each tick, so that changes of its own nodes, of the nodes of other replicas
+ * and of the leader itself are all handled in the same way.
  */
-function listChanges(
+function listHolderCommands(
   { control, replication }: ReplicaState,
   event: ControlEvent,
   nowMs: number,
@@ -146,7 +156,7 @@
   if (event.type === "Ticked") {
     const isPlanning = replication.consensus.role.type === "Leader" &&
       isConfirmed(replication, nowMs);
-    return isPlanning ? planChanges(control, replication.holders) : [];
+    return isPlanning ? planHolderChanges(control, replication.holders) : [];
   }
   if (
     event.type !== "NodeMessageReceived" ||
@@ -154,7 +164,7 @@
   ) {
     return [];
   }
-  const command = readCopy(control, event.linkId, event.message);
+  const command = createCopiedCommand(control, event.linkId, event.message);
   return command === undefined ? [] : [command];
 }
 
@@ -168,7 +178,10 @@
   );
 }
 
-/** After the table: a proof may only name a version that was pushed before. */
+/**
+ * Publishes the rounds of reads. Must follow the table: a proof may only name a
+ * version that was pushed before.
+ */
 function publishRounds(state: ReplicaState, nowMs: number): ReplicaStep {
   const { rounds } = state.replication.confirmation;
   return state.control.readRounds === rounds
@@ -176,14 +189,17 @@
     : step(state, { type: "RoundsReplaced", readRounds: rounds }, nowMs);
 }
 
-/** Nodes are told of the replicas with the next answer to a heartbeat. */
+/**
+ * Publishes the replicas; nodes receive them with the next answer to a
+ * heartbeat.
+ */
 function publishReplicas(state: ReplicaState): ReplicaState {
   const { control, replication } = state;
   const { cluster, peers } = replication;
   if (cluster.discovery === undefined || peers === state.publishedPeers) {
     return state;
   }
-  const replicas = [cluster.self, ...listHeardPeers(replication)];
+  const replicas = [cluster.self, ...listAlivePeers(replication)];
   return {
     ...state,
     control: { ...control, replicas },
--- a/src/engine/control/common/replica_repair.ts
+++ b/src/engine/control/common/replica_repair.ts
@@ -1,45 +1,51 @@
-/** Which membership change the leader makes next: joins and replacements. */
+/**
+ * Selects the leader's next change of the replica set: joins and replacements.
+ */
 import type { ConfigurationChange } from "../../consensus/common/consensus_events.ts";
-import { getSettingsId } from "./replication_state.ts";
+import { parseSettingsId } from "./replication_state.ts";
 import type { ReplicationState } from "./replication_state.ts";
 
 /**
- * Picks the next change, one at a time. A replica that runs with an id that
- * isn't in the set joins as a learner. Once it has caught up, the voter that
- * stood under the same id of the settings is removed, and then the learner is
- * promoted: until then it counts for nothing.
+ * Selects the next change; changes are made one at a time. A running replica
+ * whose id isn't in the set joins as a learner. Once it has caught up, the
+ * voter with the same id in the settings is removed, and then the learner is
+ * promoted. Until then the learner doesn't count towards any quorum.
  */
-export function pickRepair(
+export function selectConfigurationChange(
   state: ReplicationState,
   nowMs: number,
 ): ConfigurationChange | undefined {
   const { configuration } = state.consensus;
   const { voters, learners } = configuration;
-  const running = listRunning(state);
-  const stale = learners.find((id) => isReplaced(id, running));
-  if (stale !== undefined) {
-    return { type: "RemoveReplica", replicaId: stale };
+  const running = listRunningReplicaIds(state);
+  const replaced = learners.find((id) => isReplaced(id, running));
+  if (replaced !== undefined) {
+    return { type: "RemoveReplica", replicaId: replaced };
   }
-  const known = [...voters, ...learners];
-  const joining = running.find((id) => !known.includes(id));
+  const memberIds = [...voters, ...learners];
+  const joining = running.find((id) => !memberIds.includes(id));
   if (joining !== undefined) {
     return { type: "AddLearner", replicaId: joining };
   }
   const ready = learners.find((id) =>
-    running.includes(id) && isCaughtUp(state, id) && isWanted(state, id, nowMs)
+    running.includes(id) && isCaughtUp(state, id) &&
+    isPromotable(state, id, nowMs)
   );
   if (ready === undefined) {
-    return pickLostLearner(state, nowMs);
+    return selectLostLearner(state, nowMs);
   }
-  const old = voters.find((id) => getSettingsId(id) === getSettingsId(ready)) ??
-    findReplaceable(state, nowMs);
-  return old === undefined
+  const removed =
+    voters.find((id) => parseSettingsId(id) === parseSettingsId(ready)) ??
+      findLostVoter(state, nowMs);
+  return removed === undefined
     ? { type: "PromoteLearner", replicaId: ready }
-    : { type: "RemoveReplica", replicaId: old };
+    : { type: "RemoveReplica", replicaId: removed };
 }
 
-/** A learner that is gone for good would otherwise be sent to for ever. */
-function pickLostLearner(
+/**
+ * Selects a lost learner to be removed, so that the leader stops sending to it.
+ */
+function selectLostLearner(
   state: ReplicationState,
   nowMs: number,
 ): ConfigurationChange | undefined {
@@ -53,8 +59,11 @@
     : { type: "RemoveReplica", replicaId: lost };
 }
 
-/** Finds a voter that was silent for so long that a learner replaces it. */
-function findReplaceable(
+/**
+ * Finds a voter that has been silent for long enough to be replaced by a
+ * learner.
+ */
+function findLostVoter(
   state: ReplicationState,
   nowMs: number,
 ): string | undefined {
@@ -71,13 +80,13 @@
   afterMs: number,
   nowMs: number,
 ): boolean {
-  const id = getSettingsId(replicaId);
+  const id = parseSettingsId(replicaId);
   const peer = state.peers.get(id);
   return id !== state.cluster.self &&
-    (peer === undefined || nowMs - peer.heardAtMs > afterMs);
+    (peer === undefined || nowMs - peer.lastReceivedAtMs > afterMs);
 }
 
-function listRunning(state: ReplicationState): readonly string[] {
+function listRunningReplicaIds(state: ReplicationState): readonly string[] {
   return [...state.peers.values()]
     .filter((peer) => !peer.isSilent)
     .flatMap(({ replicaId }) => replicaId ?? []);
@@ -85,11 +94,11 @@
 
 function isReplaced(id: string, running: readonly string[]): boolean {
   return running.some((other) =>
-    other !== id && getSettingsId(other) === getSettingsId(id)
+    other !== id && parseSettingsId(other) === parseSettingsId(id)
   );
 }
 
-/** Whether a learner has what is committed. */
+/** Whether a learner has all committed entries. */
 function isCaughtUp(state: ReplicationState, replicaId: string): boolean {
   const { role, commitIndex } = state.consensus;
   const matchIndex = role.type === "Leader"
@@ -98,19 +107,21 @@
   return matchIndex > 0 && matchIndex >= commitIndex;
 }
 
-/** Whether a learner shall vote, by the settings or for want of voters. */
-function isWanted(
+/**
+ * Whether a learner is to vote: listed in the settings, or needed as a voter.
+ */
+function isPromotable(
   state: ReplicationState,
   replicaId: string,
   nowMs: number,
 ): boolean {
-  const { discovery, voters: listed } = state.cluster;
-  const id = getSettingsId(replicaId);
+  const { discovery, voters: listedVoters } = state.cluster;
+  const id = parseSettingsId(replicaId);
   if (discovery === undefined) {
-    return listed.includes(id);
+    return listedVoters.includes(id);
   }
   const { voters } = state.consensus.configuration;
   return voters.length < discovery.maxVoters ||
-    voters.some((voter) => getSettingsId(voter) === id) ||
-    findReplaceable(state, nowMs) !== undefined;
+    voters.some((voter) => parseSettingsId(voter) === id) ||
+    findLostVoter(state, nowMs) !== undefined;
 }
--- a/src/engine/control/common/replicated_codec.ts
+++ b/src/engine/control/common/replicated_codec.ts
@@ -1,4 +1,6 @@
-/** The replicated commands and their state as bytes, with older formats. */
+/**
+ * Codec of replicated commands and of snapshots; also reads the older formats.
+ */
 import type { HolderCommand } from "../../claims/common/holder_set_reducer.ts";
 import {
   createEncodedState,
@@ -12,15 +14,15 @@
 } from "../../table/common/table_reducer.ts";
 import type { HoldersState } from "./holders.ts";
 
-/** What the log carries. */
+/** A command in the replicated log. */
 export type ReplicatedCommand =
   | { readonly type: "TableEdited"; readonly edit: TableEdit }
   | HolderCommand;
 
-/** What the log's commands make. */
+/** The state that the commands of the log result in. */
 export interface ReplicatedState {
   readonly tableState: TableState;
-  /** The nodes that keep claims, by service. */
+  /** The holder sets, by service. */
   readonly holders: HoldersState;
 }
 
@@ -30,7 +32,10 @@
   holders: new Map(),
 };
 
-/** The format that is written; one without a number is the table alone. */
+/**
+ * The format that is written; snapshots without a format contain the table
+ * only.
+ */
 const FORMAT = 2;
 
 interface EncodedState {
@@ -47,13 +52,13 @@
   return encodeJson(command);
 }
 
-/** Decodes a command; one without a type is an edit of the first format. */
+/** Decodes a command; one without a type is an edit in the first format. */
 export function decodeCommand(bytes: Uint8Array): ReplicatedCommand {
   const decoded = decodeJson(bytes) as ReplicatedCommand | TableEdit;
   return "type" in decoded ? decoded : { type: "TableEdited", edit: decoded };
 }
 
-/** Encodes the whole state for a snapshot. */
+/** Encodes the state as a snapshot: JSON in UTF-8. */
 export function encodeReplicated(state: ReplicatedState): Uint8Array {
   const encoded: EncodedState = {
     format: FORMAT,
@@ -63,7 +68,7 @@
   return encodeJson(encoded);
 }
 
-/** Decodes a snapshot; no bytes are the state before any command. */
+/** Decodes a snapshot; an empty one is the initial state. */
 export function decodeReplicated(bytes: Uint8Array): ReplicatedState {
   if (bytes.length === 0) {
     return INITIAL_REPLICATED_STATE;
--- a/src/engine/control/common/replication_reducer.ts
+++ b/src/engine/control/common/replication_reducer.ts
@@ -1,4 +1,7 @@
-/** One replica of the table: consensus, founding, repair, edits and reads. */
+/**
+ * Reducer of one replica of the table: consensus, bootstrap, repair of the
+ * replica set, edits and reads.
+ */
 import { setEntry } from "../../../base/common/maps.ts";
 import {
   chainReduction,
@@ -11,26 +14,26 @@
   ReplicaHello,
 } from "../../link/common/cluster_messages.ts";
 import type { QuotaTerms } from "../../workspaces/common/quota_shares.ts";
-import { carryEffects, stepConsensus } from "./consensus_step.ts";
+import { applyEffects, stepConsensus } from "./consensus_step.ts";
 import { expireEdits, receiveReply } from "./edit_requests.ts";
-import { resumeEdits, startEdit } from "./edit_sending.ts";
-import { finishFounding, foundCluster, isEmpty } from "./founding.ts";
+import { sendDueEdits, startEdit } from "./edit_sending.ts";
+import { bootstrapCluster, finishBootstrap, isEmpty } from "./founding.ts";
 import {
+  addHelloPeers,
   addPeers,
   createPeer,
-  forgetPeers,
-  learnPeers,
-  listHeardPeers,
+  listAlivePeers,
+  removeSilentPeers,
 } from "./peer_discovery.ts";
-import { proposeCommand, startHolderCommand } from "./holder_proposals.ts";
-import { pickRepair } from "./replica_repair.ts";
+import { proposeCommand, requestHolderChange } from "./holder_proposals.ts";
+import { selectConfigurationChange } from "./replica_repair.ts";
 import { INITIAL_REPLICATED_STATE } from "./replicated_codec.ts";
 import {
   CONSENSUS_OPTIONS,
-  getRequestId,
+  createRequestId,
   getRole,
-  HELLO_MS,
-  PEER_SILENCE_MS,
+  HELLO_INTERVAL_MS,
+  PEER_SILENCE_LIMIT_MS,
 } from "./replication_state.ts";
 import type {
   Cluster,
@@ -43,23 +46,26 @@
 import {
   renewConfirmation,
   requestConfirmation,
-  resumeReads,
+  sendWaitingReads,
   startRead,
 } from "./read_sending.ts";
-import { NO_ROUNDS } from "./routes_proof.ts";
+import { INITIAL_READ_ROUNDS } from "./routes_proof.ts";
 import { expireReads } from "./table_reads.ts";
 
-/** What a replica starts from. */
+/** Options from which a replica is restored. */
 export interface ReplicationOptions {
   readonly cluster: Cluster;
+  /** Id of its data folder: `id~suffix` with the id of the settings. */
   readonly replicaId: string;
+  /** Contents of its disk. */
   readonly recovered: Recovered;
+  /** Steady clock in milliseconds. */
   readonly nowMs: number;
-  /** How limits of workspaces are kept; left out where they aren't. */
+  /** How limits of workspaces are enforced; undefined if they aren't. */
   readonly quotaTerms?: QuotaTerms | undefined;
 }
 
-/** Restores a replica from what its disk holds. */
+/** Restores a replica from the contents of its disk. */
 export function restoreReplication(
   options: ReplicationOptions,
 ): ReplicationStep {
@@ -83,19 +89,21 @@
       requestId: undefined,
       startedAtMs: nowMs,
       confirmedAtMs: undefined,
-      isWanted: false,
-      rounds: NO_ROUNDS,
+      isRequested: false,
+      rounds: INITIAL_READ_ROUNDS,
     },
-    isStoringFounding: false,
+    isStoringBootstrap: false,
     voters: consensus.configuration.voters,
-    helloAtMs: 0,
+    lastHelloAtMs: 0,
     startedAtMs: nowMs,
     nextRequest: 1,
   };
-  return carryEffects(state, effects, nowMs);
+  return applyEffects(state, effects, nowMs);
 }
 
-/** Steps a replica; `nowMs` is the wall clock in milliseconds. */
+/**
+ * Applies an event to a replica; `nowMs` is the steady clock in milliseconds.
+ */
 export function reduceReplication(
   state: ReplicationState,
   event: ReplicationEvent,
@@ -107,14 +115,14 @@
     case "PersistCompleted":
       return stepConsensus(state, event, nowMs);
     case "FoundingStored":
-      return createReduction(finishFounding(state, event.configuration));
+      return createReduction(finishBootstrap(state, event.configuration));
     case "EditRequested": {
       const { requestId, edit } = event;
       const origin = { type: "Operator", requestId } as const;
       return startEdit(state, { edit, origin }, nowMs);
     }
     case "HolderChangeRequested":
-      return startHolderCommand(state, event.command, nowMs);
+      return requestHolderChange(state, event.command, nowMs);
     case "TableReadRequested":
       return startRead(state, event.requestId, nowMs);
     case "ProofWanted":
@@ -138,7 +146,7 @@
   switch (message.type) {
     case "ReplicaHello":
       return chainReduction(
-        learnPeers(state, message, nowMs),
+        addHelloPeers(state, message, nowMs),
         (s) => receiveHello(s, message, nowMs),
       );
     case "ConsensusRelay": {
@@ -165,17 +173,17 @@
   hello: ReplicaHello,
   nowMs: number,
 ): ReplicationStep {
-  const before = state.peers.get(hello.id);
-  if (before === undefined) {
+  const previous = state.peers.get(hello.id);
+  if (previous === undefined) {
     return createReduction(state);
   }
-  const { type: _type, id, known: _known, ...said } = hello;
-  const peer: Peer = { ...said, heardAtMs: nowMs, isSilent: false };
+  const { type: _type, id, known: _known, ...fields } = hello;
+  const peer: Peer = { ...fields, lastReceivedAtMs: nowMs, isSilent: false };
   const next = { ...state, peers: setEntry(state.peers, id, peer) };
   const event = { type: "ReplicaHeard", replica: id } as const;
   return createReduction(
     next,
-    before.isSilent ? [{ type: "RecordEvent", event }] : [],
+    previous.isSilent ? [{ type: "RecordEvent", event }] : [],
   );
 }
 
@@ -183,18 +191,18 @@
   const steps: readonly ((s: ReplicationState) => ReplicationStep)[] = [
     (s) => stepConsensus(s, { type: "Ticked" }, nowMs),
     (s) => reportSilence(s, nowMs),
-    foundCluster,
+    bootstrapCluster,
     (s) => repairReplicas(s, nowMs),
-    (s) => forgetPeers(s, nowMs),
+    (s) => removeSilentPeers(s, nowMs),
     (s) => expireEdits(s, nowMs),
-    (s) => resumeEdits(s, nowMs),
+    (s) => sendDueEdits(s, nowMs),
     (s) => expireReads(s, nowMs),
-    (s) => resumeReads(s, nowMs),
+    (s) => sendWaitingReads(s, nowMs),
     (s) => renewConfirmation(s, nowMs),
     (s) => sendHello(s, nowMs),
   ];
   return steps.reduce<ReplicationStep>(
-    (done, step) => chainReduction(done, step),
+    (result, step) => chainReduction(result, step),
     createReduction(state),
   );
 }
@@ -204,7 +212,7 @@
   nowMs: number,
 ): ReplicationStep {
   const silent = [...state.peers].filter(([, peer]) =>
-    !peer.isSilent && nowMs - peer.heardAtMs > PEER_SILENCE_MS
+    !peer.isSilent && nowMs - peer.lastReceivedAtMs > PEER_SILENCE_LIMIT_MS
   );
   if (silent.length === 0) {
     return createReduction(state);
@@ -218,7 +226,10 @@
   return createReduction({ ...state, peers }, effects);
 }
 
-/** A change that can't be made now is picked again at a later tick. */
+/**
+ * Proposes the next change of the replica set. A change that can't be made now
+ * is selected again at a later tick.
+ */
 function repairReplicas(
   state: ReplicationState,
   nowMs: number,
@@ -228,18 +239,18 @@
   if (role.type !== "Leader" || configurationIndex > commitIndex) {
     return createReduction(state);
   }
-  const change = pickRepair(state, nowMs);
+  const change = selectConfigurationChange(state, nowMs);
   if (change === undefined) {
     return createReduction(state);
   }
-  const requestId = getRequestId(state);
+  const requestId = createRequestId(state);
   const next = { ...state, nextRequest: state.nextRequest + 1 };
   const type = "ConfigurationChangeProposed";
   return stepConsensus(next, { type, requestId, change }, nowMs);
 }
 
 function sendHello(state: ReplicationState, nowMs: number): ReplicationStep {
-  if (Math.abs(nowMs - state.helloAtMs) < HELLO_MS) {
+  if (Math.abs(nowMs - state.lastHelloAtMs) < HELLO_INTERVAL_MS) {
     return createReduction(state);
   }
   const { consensus, cluster } = state;
@@ -247,18 +258,18 @@
     type: "ReplicaHello",
     id: cluster.self,
     replicaId: consensus.replicaId,
-    isEmpty: isEmpty(state) && !state.isStoringFounding,
+    isEmpty: isEmpty(state) && !state.isStoringBootstrap,
     role: getRole(state),
     term: consensus.term,
     commitIndex: consensus.commitIndex,
     ...(cluster.discovery === undefined
       ? {}
-      : { known: listHeardPeers(state) }),
+      : { known: listAlivePeers(state) }),
   };
   const hellos = [...state.peers.keys()].map((peer): ReplicationEffect => ({
     type: "SendToPeer",
     peer,
     message,
   }));
-  return createReduction({ ...state, helloAtMs: nowMs }, hellos);
+  return createReduction({ ...state, lastHelloAtMs: nowMs }, hellos);
 }
--- a/src/engine/control/common/replication_state.ts
+++ b/src/engine/control/common/replication_state.ts
@@ -21,43 +21,45 @@
 import type { HoldersState } from "./holders.ts";
 import type { ReadRounds } from "./routes_proof.ts";
 
-/** Which replicas there are, by their ids in the settings. */
+/** The configured replicas, by their ids in the settings. */
 export interface Cluster {
+  /** This replica. */
   readonly self: string;
-  /** Those that shall vote; the first one founds the set. */
+  /** The initial voters; the first one bootstraps the set. */
   readonly voters: readonly string[];
-  /** All others that are known at the start. */
+  /** All other replicas known at the start. */
   readonly peers: readonly string[];
-  /** Set where replicas find each other; their ids are link addresses. */
+  /** Set if replicas discover each other; their ids are then link addresses. */
   readonly discovery?: Discovery;
 }
 
-/** How replicas that find each other make up the set of voters. */
+/** Terms of the replica set if replicas discover each other. */
 export interface Discovery {
-  /** Learners are promoted up to so many voters. */
+  /** Maximum number of voters; learners are promoted up to it. */
   readonly maxVoters: number;
-  /** A voter that is silent for so long gives way to a ready learner. */
+  /** Silence after which a learner that has caught up replaces a voter. */
   readonly replaceAfterMs: number;
-  /** How often a replica proves that its state is current. */
+  /** Interval at which a replica confirms that its state is current. */
   readonly confirmEveryMs: number;
-  /** How long such a proof holds. */
+  /** Time for which a confirmation is valid. */
   readonly confirmValidMs: number;
 }
 
-/** Another replica as this one hears it; times are wall clocks. */
+/** Another replica, by its last hello; times are of the steady clock, in ms. */
 export interface Peer {
-  /** Undefined until it is heard. */
+  /** Id of its data folder; undefined before its first hello. */
   readonly replicaId: string | undefined;
+  /** Whether nothing was ever written to its disk. */
   readonly isEmpty: boolean;
   readonly role: ReplicaRole;
   readonly term: number;
   readonly commitIndex: number;
-  /** When it was heard last, or this replica's start. */
-  readonly heardAtMs: number;
+  /** When its last hello was received; before the first, when it was added. */
+  readonly lastReceivedAtMs: number;
   readonly isSilent: boolean;
 }
 
-/** Whom the result of an edit goes to. */
+/** The sender of an edit, to which its result is returned. */
 export type EditOrigin =
   | { readonly type: "Operator"; readonly requestId: number }
   | {
@@ -66,60 +68,76 @@
     readonly requestId: string;
   };
 
-/** An edit that was not answered yet. */
+/** An edit that wasn't answered yet; times are of the steady clock, in ms. */
 export interface PendingEdit {
   readonly edit: TableEdit;
   readonly origin: EditOrigin;
   readonly deadlineMs: number;
-  /** Replica id of the leader that has it; undefined: waits for one. */
+  /**
+   * Replica id of the leader it was sent to; undefined while waiting for one.
+   */
   readonly sentTo: string | undefined;
   readonly sentAtMs: number;
-  /** Whether an attempt may yet be committed. */
+  /** Whether an earlier attempt may still be committed. */
   readonly isUnknown: boolean;
 }
 
-/** A read that was not answered yet. */
+/** An operator's read that wasn't answered yet. */
 export interface PendingTableRead {
+  /** The operator's request. */
   readonly requestId: number;
+  /** Steady clock in milliseconds. */
   readonly deadlineMs: number;
+  /** Whether it waits for a leader. */
   readonly isWaiting: boolean;
 }
 
-/** Proof that the table here is current: a read that a quorum confirmed. */
+/**
+ * Confirmation that the table of this replica is current: a linearizable read
+ * that a quorum confirmed. Times are of the steady clock, in milliseconds.
+ */
 export interface Confirmation {
-  /** The read in progress. */
+  /** The read in progress; undefined without one. */
   readonly requestId: string | undefined;
+  /** Start of the last read, or this replica's start. */
   readonly startedAtMs: number;
-  /** Start of the last read that was confirmed. */
+  /** Start of the last confirmed read; undefined before the first one. */
   readonly confirmedAtMs: number | undefined;
-  /** Whether a further one is to begin as soon as it can. */
-  readonly isWanted: boolean;
+  /** Whether the next read is to start as soon as possible. */
+  readonly isRequested: boolean;
   readonly rounds: ReadRounds;
 }
 
-/** One replica of the table. */
+/** The state of one replica of the table. */
 export interface ReplicationState {
   readonly cluster: Cluster;
   readonly consensus: ConsensusState;
-  /** As of the commit index. */
+  /** The table as of the commit index. */
   readonly tableState: TableState;
-  /** As of the commit index, by service. */
+  /** The holder sets as of the commit index, by service. */
   readonly holders: HoldersState;
-  /** Changes of holders that this replica proposed, by request. */
+  /** Names of the changes of holders proposed by this replica, by request. */
   readonly holderProposals: ReadonlyMap<string, string>;
+  /** The other replicas, by id in the settings. */
   readonly peers: ReadonlyMap<string, Peer>;
+  /** Unanswered edits, by request. */
   readonly edits: ReadonlyMap<string, PendingEdit>;
+  /** Unanswered reads, by request. */
   readonly reads: ReadonlyMap<string, PendingTableRead>;
   readonly confirmation: Confirmation;
-  readonly isStoringFounding: boolean;
-  /** Replica ids that voted when the set was last told to change. */
+  /** Whether the bootstrap snapshot is being written to disk. */
+  readonly isStoringBootstrap: boolean;
+  /** Replica ids of the voters as of the last recorded configuration. */
   readonly voters: readonly string[];
-  readonly helloAtMs: number;
+  /** When the last hello was sent; steady clock in milliseconds. */
+  readonly lastHelloAtMs: number;
+  /** Steady clock in milliseconds. */
   readonly startedAtMs: number;
+  /** Number of the next request id, from 1. */
   readonly nextRequest: number;
 }
 
-/** What happens to the replica. */
+/** An event at the replica. */
 export type ReplicationEvent =
   | {
     readonly type: "ClusterMessageReceived";
@@ -135,21 +153,21 @@
     readonly requestId: number;
     readonly edit: TableEdit;
   }
-  /** A node reported, or the leader planned. */
+  /** A node reported that it copied a set, or the leader planned a change. */
   | {
     readonly type: "HolderChangeRequested";
     readonly command: HolderCommand;
   }
   | { readonly type: "TableReadRequested"; readonly requestId: number }
-  /** A node's requests wait for a proof that the table is current. */
+  /** Requests at a node wait for a proof that the table is current. */
   | { readonly type: "ProofWanted" }
-  /** The settings name other replicas to ask for the rest. */
+  /** The settings name replicas from which the others can be discovered. */
   | { readonly type: "SeedsLearned"; readonly seeds: readonly string[] }
-  /** A planned stop: leadership goes to another voter. */
+  /** The process will stop: a leader transfers leadership to another voter. */
   | { readonly type: "StopPlanned" }
   | { readonly type: "ReplicationTicked" };
 
-/** What the replica does about it. */
+/** An effect of the replica. */
 export type ReplicationEffect =
   | {
     readonly type: "SendToPeer";
@@ -158,12 +176,12 @@
     readonly message: ClusterMessage;
   }
   | Extract<ConsensusEffect, { type: "PersistLog" | "PersistSnapshot" }>
-  /** Stores the founding snapshot; then FoundingStored. */
+  /** Stores the bootstrap snapshot; answered by `FoundingStored`. */
   | {
     readonly type: "StoreFounding";
     readonly configuration: Configuration;
   }
-  /** Opens a link to a replica that another one told of, or drops it. */
+  /** Opens or closes a link to a discovered replica. */
   | { readonly type: "LinkPeer"; readonly peer: string }
   | { readonly type: "UnlinkPeer"; readonly peer: string }
   | {
@@ -171,7 +189,7 @@
     readonly requestId: number;
     readonly result: EditResult;
   }
-  /** The table as it is now may be read, where `isCurrent`. */
+  /** Answers a read; the table of this replica may be read if `isCurrent`. */
   | {
     readonly type: "AnswerRead";
     readonly requestId: number;
@@ -179,52 +197,57 @@
   }
   | { readonly type: "RecordEvent"; readonly event: TimelineEvent };
 
-/** A step of the replica. */
+/** A state of the replica and the effects of reaching it. */
 export type ReplicationStep = Reduction<ReplicationState, ReplicationEffect>;
 
-/** Largest edit in bytes, as encoded; well below a link's largest message. */
+/**
+ * Maximum size of an encoded edit; well below the maximum message of a link.
+ */
 export const MAX_EDIT_BYTES = 2 * 1024 * 1024;
-/** Times of consensus, and its bounds. */
+/** Timeouts and limits of consensus. */
 export const CONSENSUS_OPTIONS: ConsensusOptions = {
   ...DEFAULT_CONSENSUS_OPTIONS,
   maxPayloadBytes: MAX_EDIT_BYTES,
 };
 
-/** How often a replica says that it lives. */
-export const HELLO_MS = 500;
-/** Silence after which a replica is reported. */
-export const PEER_SILENCE_MS = 3_000;
-/** A replica outside the set that is silent for so long is forgotten. */
-export const FORGET_PEER_MS = 20_000;
-/** How long an edit or a read may wait for a leader and its commit. */
-export const REQUEST_MS = 6_000;
-/** When an edit is forwarded again that the leader didn't answer. */
-export const RESEND_MS = 1_500;
-/** How often a replica proves that its table is current. */
-export const CONFIRM_EVERY_MS = 1_000;
-/** How long such a proof holds. */
-export const CONFIRM_VALID_MS = 3_000;
-
-/** Reads the id in the settings out of a replica id. */
-export function getSettingsId(replicaId: string): string {
+/** Interval at which a replica sends hellos to its peers. */
+export const HELLO_INTERVAL_MS = 500;
+/** Silence after which a peer is reported as silent. */
+export const PEER_SILENCE_LIMIT_MS = 3_000;
+/** Silence after which a peer outside the replica set is removed. */
+export const PEER_RETENTION_MS = 20_000;
+/** Time within which an edit or a read must be answered. */
+export const REQUEST_TIMEOUT_MS = 6_000;
+/**
+ * Time after which an edit that the leader didn't answer is forwarded again.
+ */
+export const FORWARD_RETRY_MS = 1_500;
+/** Default interval at which a replica confirms that its table is current. */
+export const CONFIRM_INTERVAL_MS = 1_000;
+/** Default time for which a confirmation is valid. */
+export const CONFIRMATION_TTL_MS = 3_000;
+
+/** Parses the id in the settings from a replica id. */
+export function parseSettingsId(replicaId: string): string {
   const end = replicaId.lastIndexOf("~");
   return end < 0 ? replicaId : replicaId.slice(0, end);
 }
 
-/** Creates an id for a proposal or a read, unique over restarts. */
-export function getRequestId(state: ReplicationState): string {
+/** Creates an id for a proposal or a read; it is unique across restarts. */
+export function createRequestId(state: ReplicationState): string {
   return `${state.startedAtMs}.${state.nextRequest}`;
 }
 
-/** Whether this replica has proved that its table is current. */
+/** Whether this replica has a valid confirmation that its table is current. */
 export function isConfirmed(state: ReplicationState, nowMs: number): boolean {
   const { confirmedAtMs } = state.confirmation;
-  const validMs = state.cluster.discovery?.confirmValidMs ?? CONFIRM_VALID_MS;
+  const validMs = state.cluster.discovery?.confirmValidMs ??
+    CONFIRMATION_TTL_MS;
   return confirmedAtMs !== undefined && nowMs >= confirmedAtMs &&
     nowMs - confirmedAtMs <= validMs;
 }
 
-/** Gets what this replica is to the others. */
+/** Gets the role of this replica in the set. */
 export function getRole({ consensus }: ReplicationState): ReplicaRole {
   const { configuration, replicaId, role } = consensus;
   if (role.type === "Leader") {
--- a/src/engine/control/common/routes_proof.ts
+++ b/src/engine/control/common/routes_proof.ts
@@ -1,10 +1,11 @@
 /**
- * Proves to nodes that the routes they hold are the newest ones: they serve
- * keys only while such a proof holds.
+ * Proves to nodes that their routes are the newest ones. Nodes serve keys only
+ * while such a proof is valid.
  *
- * A proof answers a question with a round of reads that began after the
- * question came. Nothing hangs on this replica's clock: one that was suspended
- * has no round to show that began since.
+ * A proof answers a node's request with a round of linearizable reads that
+ * started after the request was received. It doesn't depend on this replica's
+ * clock: a replica that was suspended has no confirmed round that started
+ * since.
  */
 import { createReduction } from "../../../base/common/reduction.ts";
 import { createSend, NEW_LINK, updateLink } from "./control_state.ts";
@@ -14,28 +15,37 @@
   ControlStep,
   Link,
 } from "./control_state.ts";
-import { tellShares } from "./usage_step.ts";
+import { createSharesUpdates } from "./usage_step.ts";
 
-/** Rounds of reads that this replica began, and had confirmed by a quorum. */
+/** Rounds of linearizable reads by this replica; they are numbered from 1. */
 export interface ReadRounds {
+  /** Number of rounds started. */
   readonly started: number;
+  /** Number of the last round confirmed by a quorum. */
   readonly confirmed: number;
 }
 
-/** A question of a node, and the first round that answers it. */
-export interface ProofQuestion {
+/** A node's request for a proof. */
+export interface ProofRequest {
+  /** The node's number of the request, which is returned with the proof. */
   readonly number: number;
+  /** The first round that answers it. */
   readonly round: number;
 }
 
-/** No rounds yet. */
-export const NO_ROUNDS: ReadRounds = { started: 0, confirmed: 0 };
+/** The state before any round. */
+export const INITIAL_READ_ROUNDS: ReadRounds = { started: 0, confirmed: 0 };
 
-/** Questions that a link may have open; a node asks some times a second. */
-const MAX_QUESTIONS = 8;
+/**
+ * Maximum number of outstanding requests per link; nodes send a few per second.
+ */
+const MAX_PROOF_REQUESTS = 8;
 
-/** Notes that a node asks for a proof; one in flight began too early. */
-export function noteQuestion(
+/**
+ * Records a node's request for a proof. A round in progress started too early
+ * to answer it.
+ */
+export function recordProofRequest(
   state: ControlState,
   linkId: number,
   number: number | undefined,
@@ -43,15 +53,19 @@
   if (number === undefined) {
     return state;
   }
-  const { questions } = state.links.get(linkId) ?? NEW_LINK;
-  const question = { number, round: state.readRounds.started + 1 };
-  return questions.length >= MAX_QUESTIONS
+  const { proofRequests } = state.links.get(linkId) ?? NEW_LINK;
+  const proofRequest = { number, round: state.readRounds.started + 1 };
+  return proofRequests.length >= MAX_PROOF_REQUESTS
     ? state
-    : updateLink(state, linkId, { questions: [...questions, question] });
+    : updateLink(state, linkId, {
+      proofRequests: [...proofRequests, proofRequest],
+    });
 }
 
-/** Answers the questions that came before a round that is confirmed now. */
-export function replaceRounds(
+/**
+ * Updates the rounds, and answers the requests received before a confirmed one.
+ */
+export function updateReadRounds(
   state: ControlState,
   readRounds: ReadRounds,
 ): ControlStep {
@@ -59,16 +73,18 @@
   const effects: ControlEffect[] = [];
   const { version: routesVersion } = state.tableState.document.table;
   for (const [linkId, link] of state.links) {
-    const isAnswered = ({ round }: ProofQuestion) =>
+    const isAnswered = ({ round }: ProofRequest) =>
       round <= readRounds.confirmed;
-    const newest = link.questions.findLast(isAnswered);
+    const newest = link.proofRequests.findLast(isAnswered);
     if (newest !== undefined) {
-      const questions = link.questions.filter((one) => !isAnswered(one));
+      const proofRequests = link.proofRequests.filter((one) =>
+        !isAnswered(one)
+      );
       links ??= new Map(state.links);
-      links.set(linkId, { ...link, questions });
+      links.set(linkId, { ...link, proofRequests });
       const { number } = newest;
-      // First, so that a node that was just started lets in its due at once.
-      effects.push(...tellShares(state, [linkId]));
+      // Shares come first, so that a node that has just started admits by them.
+      effects.push(...createSharesUpdates(state, [linkId]));
       effects.push(
         createSend(linkId, { type: "RoutesProved", number, routesVersion }),
       );
--- a/src/engine/control/common/routes_push.ts
+++ b/src/engine/control/common/routes_push.ts
@@ -1,4 +1,6 @@
-/** Brings the routes to the nodes: whole, as they change seldom. */
+/**
+ * Pushes the routes to the nodes; always all of them, as they change rarely.
+ */
 import { createReduction } from "../../../base/common/reduction.ts";
 import { createSend, NEW_LINK, updateLink } from "./control_state.ts";
 import type {
@@ -7,9 +9,9 @@
   ControlStep,
   Link,
 } from "./control_state.ts";
-import { REPAIR_MS } from "./table_push.ts";
+import { ACK_TIMEOUT_MS } from "./table_push.ts";
 
-/** Sends the routes to every node that wasn't sent this version. */
+/** Sends the routes to every node to which this version wasn't sent. */
 export function pushRoutes(state: ControlState, nowMs: number): ControlStep {
   const { version } = state.tableState.document.table;
   const due = [...state.links].filter(([, link]) =>
@@ -27,7 +29,7 @@
   return createReduction({ ...state, links }, effects);
 }
 
-/** Tells every node that takes routes that they are current. */
+/** Sends the routes to every node again, confirmed as current. */
 export function confirmRoutes(state: ControlState, nowMs: number): ControlStep {
   const links = new Map(
     [...state.links].map(([linkId, link]) =>
@@ -37,20 +39,26 @@
   return pushRoutes({ ...state, links }, nowMs);
 }
 
-/** Notes what a node holds, and sends again what it lacks for long. */
-export function noteRoutes(
+/**
+ * Records the version of the routes that a node reports, if any, and resends
+ * the routes if the node hasn't confirmed them in time.
+ */
+export function recordRoutesVersion(
   state: ControlState,
   linkId: number,
-  told: { readonly routesVersion: number | undefined; readonly nowMs: number },
+  confirmation: {
+    readonly routesVersion: number | undefined;
+    readonly nowMs: number;
+  },
 ): ControlStep {
-  const { routesVersion, nowMs } = told;
+  const { routesVersion, nowMs } = confirmation;
   if (routesVersion === undefined) {
     return createReduction(state);
   }
   const { version } = state.tableState.document.table;
   const link = state.links.get(linkId) ?? NEW_LINK;
   const isSent = link.sentRoutesVersion >= version &&
-    nowMs - link.sentRoutesAtMs < REPAIR_MS;
+    nowMs - link.sentRoutesAtMs < ACK_TIMEOUT_MS;
   if (routesVersion >= version || isSent) {
     return createReduction(updateLink(state, linkId, { routesVersion }));
   }
--- a/src/engine/control/common/table_push.ts
+++ b/src/engine/control/common/table_push.ts
@@ -1,4 +1,6 @@
-/** Brings the table to the nodes: deltas where it can, else the whole. */
+/**
+ * Pushes the table to the nodes: as a delta if possible, otherwise completely.
+ */
 import {
   chainReduction,
   createReduction,
@@ -14,16 +16,16 @@
   Link,
 } from "./control_state.ts";
 
-/** Versions back to which deltas are made. */
+/** Number of earlier tables that are retained to create deltas from. */
 export const MAX_RECENT_TABLES = 64;
-/** A node that didn't confirm for so long is sent the change again. */
-export const REPAIR_MS = 2_000;
+/** Time after which a change that a node hasn't acknowledged is resent. */
+export const ACK_TIMEOUT_MS = 2_000;
 
 /**
- * Keeps the table that was in force before, so that deltas can start from it.
- * To be called wherever the table moves on.
+ * Retains the table that was in force before, so that deltas can start from it.
+ * Must be called whenever the table changes.
  */
-export function rememberTable(
+export function retainTable(
   state: ControlState,
   before: Table,
 ): ControlState {
@@ -32,7 +34,7 @@
   return { ...state, recentTables };
 }
 
-/** Sends the table to every node that wasn't sent this version. */
+/** Sends the table to every node to which this version wasn't sent. */
 export function pushTable(state: ControlState, nowMs: number): ControlStep {
   const { version } = state.tableState.table;
   const messages = new Map<number, ControlMessage>();
@@ -50,7 +52,10 @@
   return createReduction({ ...state, links }, effects);
 }
 
-/** Sends one node what leads from the version that it says it is at. */
+/**
+ * Sends one node the table, as a delta from the version it reported if
+ * possible.
+ */
 export function sendTable(
   state: ControlState,
   linkId: number,
@@ -67,7 +72,10 @@
   ]);
 }
 
-/** Tells every node that its table is current, or what leads to that one. */
+/**
+ * Sends every node the table again, usually as an empty delta, confirmed as
+ * current.
+ */
 export function confirmTable(state: ControlState, nowMs: number): ControlStep {
   let step: ControlStep = createReduction(state);
   for (const [linkId, { nodeId, sentVersion: fromVersion }] of state.links) {
@@ -79,7 +87,7 @@
   return step;
 }
 
-/** Sends again what a node hasn't confirmed in time. */
+/** Resends the changes that a node hasn't confirmed in time. */
 export function resendTable(
   state: ControlState,
   linkId: number,
@@ -87,7 +95,7 @@
 ): ControlStep {
   const link = state.links.get(linkId) ?? NEW_LINK;
   const isBehind = link.tableVersion < state.tableState.table.version;
-  if (!isBehind || nowMs - link.sentAtMs < REPAIR_MS) {
+  if (!isBehind || nowMs - link.sentAtMs < ACK_TIMEOUT_MS) {
     return createReduction(state);
   }
   const fromVersion = link.tableVersion;
--- a/src/engine/control/common/table_reads.ts
+++ b/src/engine/control/common/table_reads.ts
@@ -1,4 +1,4 @@
-/** What becomes of linearizable reads of the table. */
+/** Completion of linearizable reads of the table. */
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 import {
   chainReduction,
@@ -6,7 +6,10 @@
 } from "../../../base/common/reduction.ts";
 import type { ReplicationState, ReplicationStep } from "./replication_state.ts";
 
-/** A quorum confirmed the read: the table as it is now is current. */
+/**
+ * Completes a read that a quorum confirmed: the table of this replica is
+ * current.
+ */
 export function finishRead(
   state: ReplicationState,
   requestId: string,
@@ -14,7 +17,7 @@
   const { confirmation } = state;
   if (confirmation.requestId === requestId) {
     const confirmedAtMs = confirmation.startedAtMs;
-    // One round at a time: the one that is confirmed was started last.
+    // Rounds don't overlap: the confirmed one is the last one started.
     const { started } = confirmation.rounds;
     const next = {
       ...confirmation,
@@ -25,10 +28,12 @@
     };
     return createReduction({ ...state, confirmation: next });
   }
-  return settleRead(state, requestId, true);
+  return answerRead(state, requestId, true);
 }
 
-/** The read waits for a leader again; reading twice does no harm. */
+/**
+ * Makes a failed read wait for a leader again; reads can safely be repeated.
+ */
 export function failRead(
   state: ReplicationState,
   requestId: string,
@@ -47,20 +52,22 @@
   );
 }
 
-/** Refuses the reads whose time is up. */
+/** Refuses the reads that have reached their deadline. */
 export function expireReads(
   state: ReplicationState,
   nowMs: number,
 ): ReplicationStep {
-  const late = [...state.reads].filter(([, read]) => read.deadlineMs <= nowMs);
-  return late.reduce<ReplicationStep>(
+  const expired = [...state.reads].filter(([, read]) =>
+    read.deadlineMs <= nowMs
+  );
+  return expired.reduce<ReplicationStep>(
     (step, [requestId]) =>
-      chainReduction(step, (s) => settleRead(s, requestId, false)),
+      chainReduction(step, (s) => answerRead(s, requestId, false)),
     createReduction(state),
   );
 }
 
-function settleRead(
+function answerRead(
   state: ReplicationState,
   requestId: string,
   isCurrent: boolean,
--- a/src/engine/control/common/usage_step.ts
+++ b/src/engine/control/common/usage_step.ts
@@ -1,10 +1,11 @@
 /**
- * Adds up what the requests of workspaces come to at all entries, and tells the
- * entries how much of them to let in.
+ * Adds up the usage of workspaces at all entry nodes, and sends the entry nodes
+ * the shares of requests to admit.
  *
- * Each replica sums up its own nodes and tells the other replicas: nothing is
- * written to the log, there is no owner to lose, and what a replica sends grows
- * with the workspaces that come near their limits, not with the fleet.
+ * Each replica sums up the usage of the nodes linked to it and sends the sum to
+ * the other replicas. Nothing is written to the log, no single owner can be
+ * lost, and the messages grow with the number of workspaces near their limits,
+ * not with the number of nodes.
  */
 import { createReduction } from "../../../base/common/reduction.ts";
 import { setEntry } from "../../../base/common/maps.ts";
@@ -27,98 +28,107 @@
   ControlStep,
 } from "./control_state.ts";
 
-/** What was said of usage, and when by the steady clock. */
-export interface UsageReport {
+/** Usage received from a node or replica. */
+export interface ReceivedUsage {
   readonly usages: readonly WorkspaceUsage[];
-  readonly heardAtMs: number;
+  /** Steady clock in milliseconds. */
+  readonly receivedAtMs: number;
 }
 
-/** How old a report may be that is added up: some are lost or late. */
-const REPORT_VALID_MS = 2_500;
 /**
- * After a start a replica has not heard all nodes and replicas yet: it says
- * nothing for as long as two reports of each take.
+ * Maximum age of a report that is added up; tolerates lost and late reports.
  */
-const LEARNING_MS = 2_500;
-/** Least time between two digests of one replica. */
-const DIGEST_MS = 450;
+const REPORT_TTL_MS = 2_500;
 /**
- * A workspace is left out of a digest where this replica's nodes let in less
- * than this part of an even share of its limit.
+ * Time after its start during which a replica sends no shares: it lasts for two
+ * reports of each node and replica, as some haven't been received yet.
  */
-const NEAR_PART = 0.4;
+const WARM_UP_MS = 2_500;
+/** Minimum time between two digests of one replica. */
+const MIN_DIGEST_INTERVAL_MS = 450;
+/**
+ * A workspace is omitted from a digest if its usage at the nodes linked to this
+ * replica is below this part of an equal share of its limit.
+ */
+const NEAR_LIMIT_RATIO = 0.4;
 
-/** Notes what a node says of its workspaces. */
-export function noteUsage(
+/** Records the usage reported by a node. */
+export function recordUsage(
   state: ControlState,
   linkId: number,
   usages: readonly WorkspaceUsage[],
   nowMs: number,
 ): ControlState {
-  return updateLink(state, linkId, { usage: { usages, heardAtMs: nowMs } });
+  return updateLink(state, linkId, { usage: { usages, receivedAtMs: nowMs } });
 }
 
-/** Notes what another replica says of its nodes. */
-export function noteDigest(
+/** Records the usage reported by another replica for its nodes. */
+export function recordUsageDigest(
   state: ControlState,
   { owner, usages, nodes }: UsageDigest,
   nowMs: number,
 ): ControlState {
-  const report = { usages, nodes, heardAtMs: nowMs };
+  const report = { usages, nodes, receivedAtMs: nowMs };
   return {
     ...state,
     usageDigests: setEntry(state.usageDigests, owner, report),
   };
 }
 
-/** Tells the other replicas and the own nodes, where there are limits. */
+/**
+ * Sends the usage to the other replicas and the shares to the linked nodes, if
+ * limits are enforced.
+ */
 export function tickUsage(state: ControlState, nowMs: number): ControlStep {
   const { quotaTerms } = state;
   const { workspaces } = state.tableState.document.table;
-  const isDue = nowMs - state.usageSaidAtMs >= DIGEST_MS;
+  const isDue = nowMs - state.usageSentAtMs >= MIN_DIGEST_INTERVAL_MS;
   if (quotaTerms === undefined || workspaces === undefined || !isDue) {
     return createReduction(state);
   }
   const digest: UsageDigest = {
     type: "UsageDigest",
     owner: parseReplicaId(state.membership.self),
-    usages: listNear(state, listOwnUsages(state, nowMs), quotaTerms),
-    nodes: countOwnNodes(state),
+    usages: listNearLimit(state, listLinkedUsages(state, nowMs), quotaTerms),
+    nodes: countLinkedNodes(state),
   };
-  const toldShares = listAllShares(state, nowMs);
-  const isNews = toldShares !== undefined &&
-    (toldShares.length > 0 || (state.toldShares?.length ?? 1) > 0);
+  const sentShares = computeShares(state, nowMs);
+  const isChanged = sentShares !== undefined &&
+    (sentShares.length > 0 || (state.sentShares?.length ?? 1) > 0);
   const next: ControlState = {
     ...state,
-    usageDigests: dropOldDigests(state, nowMs),
-    usageSaidAtMs: nowMs,
-    toldShares,
+    usageDigests: removeStaleDigests(state, nowMs),
+    usageSentAtMs: nowMs,
+    sentShares,
   };
-  const sends = isNews ? tellShares(next, listNodeLinks(next)) : [];
+  const sends = isChanged ? createSharesUpdates(next, listNodeLinks(next)) : [];
   return createReduction(next, [
     { type: "SendToReplicas", message: digest },
     ...sends,
   ]);
 }
 
-/** Creates what nodes are told of shares; the replica may know none yet. */
-export function tellShares(
+/**
+ * Creates the messages that send the shares to nodes; they carry the number of
+ * nodes alone until this replica knows the shares.
+ */
+export function createSharesUpdates(
   state: ControlState,
   linkIds: readonly number[],
 ): readonly ControlEffect[] {
-  const { toldShares, usageDigests } = state;
+  const { sentShares, usageDigests } = state;
   const nodes = [...usageDigests.values()]
-    .reduce((sum, report) => sum + report.nodes, countOwnNodes(state));
+    .reduce((sum, report) => sum + report.nodes, countLinkedNodes(state));
   const message = {
     type: "SharesUpdate",
     nodes,
-    ...(toldShares === undefined ? {} : { shares: toldShares }),
+    ...(sentShares === undefined ? {} : { shares: sentShares }),
   } as const;
   return linkIds.map((linkId) => createSend(linkId, message));
 }
 
-/** Replicas that are replaced are not heard again. */
-function dropOldDigests(
+/** Removes expired digests, such as those of replaced replicas. */
+function removeStaleDigests(
   { usageDigests }: ControlState,
   nowMs: number,
 ): ControlState["usageDigests"] {
@@ -128,22 +138,24 @@
   return fresh.length === usageDigests.size ? usageDigests : new Map(fresh);
 }
 
-/** Undefined while this replica can't know what is asked for in all. */
-function listAllShares(
+/**
+ * Computes the shares; undefined until this replica can know the total usage.
+ */
+function computeShares(
   state: ControlState,
   nowMs: number,
 ): readonly WorkspaceShare[] | undefined {
   const { quotaTerms, startedAtMs } = state;
   const { workspaces = [] } = state.tableState.document.table;
-  if (quotaTerms === undefined || nowMs - startedAtMs < LEARNING_MS) {
+  if (quotaTerms === undefined || nowMs - startedAtMs < WARM_UP_MS) {
     return undefined;
   }
   return listShares(workspaces, computeUsages(state, nowMs), quotaTerms);
 }
 
 /**
- * Sums up what all nodes are asked for, as this replica knows: of other
- * replicas' nodes only what comes near a limit.
+ * Sums up the usage of all nodes as known to this replica; of the nodes of
+ * other replicas it knows only the workspaces near a limit.
  */
 export function computeUsages(
   state: ControlState,
@@ -152,10 +164,10 @@
   const others = [...state.usageDigests.values()]
     .filter((report) => isFresh(report, nowMs))
     .map(({ usages }) => usages);
-  return addUsages([listOwnUsages(state, nowMs), ...others]);
+  return addUsages([listLinkedUsages(state, nowMs), ...others]);
 }
 
-function listOwnUsages(
+function listLinkedUsages(
   state: ControlState,
   nowMs: number,
 ): readonly WorkspaceUsage[] {
@@ -165,8 +177,8 @@
   return [...addUsages(reports).values()];
 }
 
-/** What is far below its limit here need not be told: that is most of them. */
-function listNear(
+/** Omits the workspaces far below their limits, which are most of them. */
+function listNearLimit(
   state: ControlState,
   usages: readonly WorkspaceUsage[],
   terms: QuotaTerms,
@@ -175,10 +187,10 @@
   const limits = new Map(
     workspaces.map((one) => [one.name, computeWindowLimit(one, terms)]),
   );
-  const replicas = 1 + state.usageDigests.size;
+  const replicaCount = 1 + state.usageDigests.size;
   return usages.filter(({ name, asked, letIn }) => {
-    const even = (limits.get(name) ?? Infinity) / replicas;
-    return Math.max(asked, letIn) >= NEAR_PART * even;
+    const equalShare = (limits.get(name) ?? Infinity) / replicaCount;
+    return Math.max(asked, letIn) >= NEAR_LIMIT_RATIO * equalShare;
   });
 }
 
@@ -188,10 +200,10 @@
   );
 }
 
-function countOwnNodes(state: ControlState): number {
+function countLinkedNodes(state: ControlState): number {
   return listNodeLinks(state).length;
 }
 
-function isFresh(report: { readonly heardAtMs: number }, nowMs: number) {
-  return nowMs - report.heardAtMs < REPORT_VALID_MS;
+function isFresh(report: { readonly receivedAtMs: number }, nowMs: number) {
+  return nowMs - report.receivedAtMs < REPORT_TTL_MS;
 }
--- a/src/engine/control/common/workspace_report.ts
+++ b/src/engine/control/common/workspace_report.ts
@@ -1,21 +1,26 @@
-/** What a control replica tells operators of workspaces; never a key. */
+/** Reports on workspaces for operators; they contain no keys. */
 import type { ControlState } from "./control_state.ts";
 import { computeUsages } from "./usage_step.ts";
 
-/** A workspace, and what its requests come to as this replica knows. */
+/** A workspace, and its usage as known to this replica. */
 export interface WorkspaceReport {
   readonly name: string;
+  /** Number of its keys. */
   readonly keys: number;
-  /** Null where only the ranks of routes count. */
+  /** Null if only the ranks of routes apply. */
   readonly rank: number | null;
-  /** 0: no limit. */
+  /** Requests per second; no limit if this and `burst` are 0. */
   readonly ratePerSecond: number;
+  /** Requests that may exceed the rate in a window. */
   readonly burst: number;
-  /** Requests in the last window, at all entries that this replica hears of. */
+  /**
+   * Requests received in the last window, at all entry nodes known to this
+   * replica.
+   */
   readonly asked: number;
-  /** Those of them that were let in, without those that ran nowhere. */
+  /** Requests of these that were admitted, without those that were not run. */
   readonly letIn: number;
-  /** Part of its requests that entries were last told to let in. */
+  /** Share of its requests that entry nodes were last sent to admit, 0 to 1. */
   readonly share: number;
 }
 
@@ -25,7 +30,7 @@
   nowMs: number,
 ): readonly WorkspaceReport[] {
   const usages = computeUsages(state, nowMs);
-  const shares = new Map(state.toldShares);
+  const shares = new Map(state.sentShares);
   const { workspaces = [] } = state.tableState.document.table;
   return workspaces.map((workspace) => {
     const { name, keyDigests, rank, ratePerSecond, burst } = workspace;
--- a/src/engine/control/test/control_reducer_test.ts
+++ b/src/engine/control/test/control_reducer_test.ts
@@ -1,4 +1,7 @@
-/** A control replica: tables to nodes, subscribers, drains, reports. */
+/**
+ * The reducer of a control replica: pushed tables, subscribers, drains,
+ * reports.
+ */
 import { expect } from "chai";
 import type {
   NodeMessage,
@@ -18,8 +21,8 @@
   ControlEvent,
   ControlState,
 } from "../common/control_state.ts";
-import { commitHolders } from "../common/holders.ts";
-import { MAX_RECENT_TABLES, REPAIR_MS } from "../common/table_push.ts";
+import { updateHolders } from "../common/holders.ts";
+import { ACK_TIMEOUT_MS, MAX_RECENT_TABLES } from "../common/table_push.ts";
 
 const ROW: TableRow = {
   kind: "lookup",
@@ -38,7 +41,7 @@
   maxBodyBytes: 1_000,
 };
 
-/** One replica, and all that it did. */
+/** A replica, and all its effects. */
 class ControlRun {
   nowMs = 1_000_000;
   state: ControlState = {
@@ -54,8 +57,8 @@
     return step.effects;
   }
 
-  /** Returns what was sent on the links. */
-  tell(linkId: number, message: NodeMessage): readonly OutboundMessage[] {
+  /** Receives a message of a node; returns the messages sent on links. */
+  receive(linkId: number, message: NodeMessage): readonly OutboundMessage[] {
     const event = { type: "NodeMessageReceived", linkId, message } as const;
     return this.dispatch(event).flatMap((effect) =>
       effect.type === "SendToLink" ? [effect.message] : []
@@ -64,7 +67,7 @@
 
   announce(linkId: number, nodeId: string, tableVersion = 0) {
     const announcement = createAnnouncement(nodeId);
-    return this.tell(linkId, {
+    return this.receive(linkId, {
       type: "Announce",
       announcement,
       linkNumber: 1,
@@ -72,16 +75,16 @@
     });
   }
 
-  beat(linkId: number, tableVersion: number) {
-    return this.tell(linkId, { type: "Heartbeat", tableVersion });
+  sendHeartbeat(linkId: number, tableVersion: number) {
+    return this.receive(linkId, { type: "Heartbeat", tableVersion });
   }
 
-  /** Makes a node the holder of its service's keys. */
-  hold(nodeId: string): readonly ControlEffect[] {
+  /** Makes a node the holder of its service. */
+  proposeHolder(nodeId: string): readonly ControlEffect[] {
     const { service, incarnation, dataCentre, ingress } = createAnnouncement(
       nodeId,
     );
-    const holders = commitHolders(this.state.holders, {
+    const holders = updateHolders(this.state.holders, {
       type: "HolderSetProposed",
       service,
       members: [{ nodeId, incarnation, dataCentre, ingress }],
@@ -119,7 +122,7 @@
 }
 
 describe("table to the nodes", () => {
-  it("sends every linked node the change alone", () => {
+  it("sends every linked node the change only", () => {
     const run = new ControlRun();
     run.edit(1);
     run.announce(1, "n1");
@@ -132,7 +135,7 @@
     expect(sent[0]!.message).to.equal(sent[1]!.message);
   });
 
-  it("brings a node at any version to the present table", () => {
+  it("brings a node at any version to the current table", () => {
     for (const behind of [1, 10, MAX_RECENT_TABLES, MAX_RECENT_TABLES + 5]) {
       const run = new ControlRun();
       const tables = [EMPTY_TABLE];
@@ -149,12 +152,12 @@
     }
   });
 
-  it("sends nothing older than what the node has", () => {
+  it("sends no table that is older than the node's", () => {
     const run = new ControlRun();
     run.edit(1);
-    run.hold("n1");
+    run.proposeHolder("n1");
     const types = run.announce(1, "n1", 9).map(({ type }) => type);
-    // The holders of claims have no version; they are told on every new link.
+    // The holder sets have no version; they are sent on every new link.
     expect(types).to.deep.equal(["HolderSetUpdate"]);
   });
 
@@ -162,27 +165,27 @@
     const run = new ControlRun();
     run.announce(1, "n1");
     run.edit(1);
-    expect(run.beat(1, 0).map(({ type }) => type))
+    expect(run.sendHeartbeat(1, 0).map(({ type }) => type))
       .to.deep.equal(["HeartbeatAnswer"]);
-    run.nowMs += REPAIR_MS;
-    const [message] = run.beat(1, 0);
+    run.nowMs += ACK_TIMEOUT_MS;
+    const [message] = run.sendHeartbeat(1, 0);
     expect(applyMessage(EMPTY_TABLE, message!).version).to.equal(1);
-    run.nowMs += REPAIR_MS;
-    expect(run.beat(1, 1).map(({ type }) => type))
+    run.nowMs += ACK_TIMEOUT_MS;
+    expect(run.sendHeartbeat(1, 1).map(({ type }) => type))
       .to.deep.equal(["HeartbeatAnswer"]);
   });
 
-  it("answers a node that a delta didn't fit", () => {
+  it("answers a node to whose table a delta didn't apply", () => {
     const run = new ControlRun();
     run.announce(1, "n1");
     run.edit(1);
-    const [message] = run.tell(1, { type: "TableFetch", tableVersion: 0 });
+    const [message] = run.receive(1, { type: "TableFetch", tableVersion: 0 });
     expect(applyMessage(EMPTY_TABLE, message!).version).to.equal(1);
   });
 });
 
-describe("what vouches for the table", () => {
-  it("is told to every node, at once and with each answer", () => {
+describe("the confirmation of the table", () => {
+  it("is sent to every node, at once and with each answer to a heartbeat", () => {
     const run = new ControlRun();
     run.announce(1, "n1");
     run.edit(1);
@@ -194,18 +197,18 @@
       linkId: 1,
       message: { type: "HeartbeatAnswer", isConfirmed: false },
     }]);
-    expect(run.beat(1, 1)[0]).to.include({ isConfirmed: false });
+    expect(run.sendHeartbeat(1, 1)[0]).to.include({ isConfirmed: false });
     const [again] = replace(true);
     expect(again).to.deep.include({ type: "SendToLink", linkId: 1 });
-    expect(run.beat(1, 1)[0]).to.include({ isConfirmed: true });
+    expect(run.sendHeartbeat(1, 1)[0]).to.include({ isConfirmed: true });
   });
 });
 
 describe("subscribers of a control replica", () => {
-  it("are told of the service that they call alone", () => {
+  it("are notified only of the services that they subscribe to", () => {
     const run = new ControlRun();
-    run.tell(1, { type: "Subscribe", service: "provenance" });
-    run.tell(2, { type: "Subscribe", service: "custody" });
+    run.receive(1, { type: "Subscribe", service: "provenance" });
+    run.receive(2, { type: "Subscribe", service: "custody" });
     run.effects = [];
     run.announce(3, "n1");
     const links = run.effects.flatMap((effect) =>
@@ -216,19 +219,19 @@
     expect(links).to.deep.equal([1]);
   });
 
-  it("are told nothing more once they unsubscribe", () => {
+  it("are no longer notified once they unsubscribe", () => {
     const run = new ControlRun();
-    run.tell(1, { type: "Subscribe", service: "provenance" });
-    run.tell(1, { type: "Unsubscribe", service: "provenance" });
+    run.receive(1, { type: "Subscribe", service: "provenance" });
+    run.receive(1, { type: "Unsubscribe", service: "provenance" });
     const types = run.announce(3, "n1").map(({ type }) => type);
     expect(types).to.not.contain("MemberUpdate");
   });
 
   it("get a complete list once the replica is warm", () => {
     const run = new ControlRun();
-    const list = run.tell(1, { type: "Subscribe", service: "provenance" });
+    const list = run.receive(1, { type: "Subscribe", service: "provenance" });
     expect(list[0]).to.include({ type: "MemberList", isComplete: false });
-    for (let spent = 0; spent <= WARM_UP_MS; spent += 250) {
+    for (let elapsedMs = 0; elapsedMs <= WARM_UP_MS; elapsedMs += 250) {
       run.nowMs += 250;
       run.dispatch({ type: "Ticked" });
     }
@@ -242,7 +245,7 @@
 });
 
 describe("drain orders", () => {
-  it("reach a node that another replica hears", () => {
+  it("reach a node that is linked to another replica", () => {
     const run = new ControlRun();
     const [relay] = run.dispatch({ type: "DrainOrdered", nodeId: "n1" });
     expect(relay).to.deep.equal({
@@ -265,13 +268,13 @@
 });
 
 describe("report of a control replica", () => {
-  it("names who is silent and who is behind", () => {
+  it("names silent nodes and nodes with an outdated table", () => {
     const run = new ControlRun();
     run.announce(1, "n1");
     run.announce(2, "n2");
     run.edit(1);
     run.nowMs += 3_500;
-    run.beat(1, 1);
+    run.sendHeartbeat(1, 1);
     const report = createControlReport(run.state, run.nowMs);
     expect(report.nodes.map((node) => [
       node.nodeId,
--- a/src/engine/control/test/holder_nodes.ts
+++ b/src/engine/control/test/holder_nodes.ts
@@ -1,4 +1,4 @@
-/** Nodes of one service in memory, linked to control replicas. */
+/** Nodes of one service in memory that are linked to control replicas. */
 import type { HolderSet } from "../../claims/common/claim_types.ts";
 import {
   answerClaimMessage,
@@ -15,8 +15,8 @@
 import { createAnnouncement } from "../../membership/test/replicas.ts";
 import type { Replicas } from "./replicas.ts";
 
-const BEAT_MS = 1_000;
-const CLAIM_TICK_MS = 100;
+const HEARTBEAT_INTERVAL_MS = 1_000;
+const CLAIM_TICK_INTERVAL_MS = 100;
 
 interface Node {
   readonly nodeId: string;
@@ -27,10 +27,12 @@
   claims: NodeClaims;
 }
 
-/** Runs the real claims of each node, and asks between nodes at once. */
+/**
+ * Runs the claims reducer of each node; requests between nodes have no delay.
+ */
 export class HolderNodes {
-  /** All sets that any replica told, as JSON, by epoch. */
-  readonly told = new Map<number, Set<string>>();
+  /** All sets sent by any replica, as JSON, by epoch. */
+  readonly publishedSets = new Map<number, Set<string>>();
   readonly #replicas: Replicas;
   readonly #nodes = new Map<string, Node>();
   #nextLink = 1;
@@ -38,10 +40,11 @@
   constructor(replicas: Replicas) {
     this.#replicas = replicas;
     replicas.onTick = () => this.#tick();
-    replicas.onLink = (id, linkId, message) => this.#hear(id, linkId, message);
+    replicas.onLink = (id, linkId, message) =>
+      this.#receive(id, linkId, message);
   }
 
-  /** Starts a node, or starts it again, linked to a replica. */
+  /** Starts or restarts a node, linked to a replica. */
   start(nodeId: string, replica: string): void {
     this.#nodes.set(nodeId, {
       nodeId,
@@ -51,16 +54,16 @@
       linkNumber: 0,
       claims: INITIAL_NODE_CLAIMS,
     });
-    this.move(nodeId, replica);
+    this.relink(nodeId, replica);
   }
 
-  /** Links a node to a replica that has started. */
-  move(nodeId: string, replica: string): void {
+  /** Links a node to a running replica. */
+  relink(nodeId: string, replica: string): void {
     const node = this.#nodes.get(nodeId)!;
     Object.assign(node, { replica, linkId: this.#nextLink++ });
     node.linkNumber += 1;
     const { incarnation, linkNumber } = node;
-    this.#replicas.tell(replica, node.linkId, {
+    this.#replicas.receiveNodeMessage(replica, node.linkId, {
       type: "Announce",
       announcement: {
         ...createAnnouncement(nodeId),
@@ -77,7 +80,7 @@
     this.#nodes.delete(nodeId);
   }
 
-  /** Gets the epoch in which a node claims; 0 for none. */
+  /** Gets the epoch of the active set at a node; 0 without one. */
   getEpoch(nodeId: string): number {
     return this.#nodes.get(nodeId)?.claims.sets?.active.epoch ?? 0;
   }
@@ -85,23 +88,23 @@
   #tick(): void {
     const { nowMs } = this.#replicas;
     for (const node of this.#nodes.values()) {
-      if (nowMs % BEAT_MS === 0) {
+      if (nowMs % HEARTBEAT_INTERVAL_MS === 0) {
         const clock = { wallMs: nowMs, counter: 0 };
         const message = { type: "Heartbeat", tableVersion: 0, clock } as const;
-        this.#replicas.tell(node.replica, node.linkId, message);
+        this.#replicas.receiveNodeMessage(node.replica, node.linkId, message);
       }
-      if (nowMs % CLAIM_TICK_MS === 0) {
+      if (nowMs % CLAIM_TICK_INTERVAL_MS === 0) {
         this.#apply(node, tickClaims(node.claims, createSelf(node), nowMs));
       }
     }
   }
 
-  #hear(id: string, linkId: number, message: OutboundMessage): void {
+  #receive(id: string, linkId: number, message: OutboundMessage): void {
     if (message.type !== "HolderSetUpdate") {
       return;
     }
     const { active, proposed } = message.sets;
-    [active, proposed].forEach((set) => set && this.#note(set));
+    [active, proposed].forEach((set) => set && this.#recordSet(set));
     const node = [...this.#nodes.values()].find((one) =>
       one.replica === id && one.linkId === linkId
     );
@@ -111,23 +114,23 @@
     }
   }
 
-  #note(set: HolderSet): void {
-    const sets = this.told.get(set.epoch) ?? new Set();
-    this.told.set(set.epoch, sets.add(JSON.stringify(set)));
+  #recordSet(set: HolderSet): void {
+    const sets = this.publishedSets.get(set.epoch) ?? new Set();
+    this.publishedSets.set(set.epoch, sets.add(JSON.stringify(set)));
   }
 
   #apply(node: Node, step: NodeClaimStep): void {
     node.claims = step.state;
     for (const effect of step.effects) {
       if (effect.type === "ReportCopied") {
-        this.#replicas.tell(node.replica, node.linkId, effect);
+        this.#replicas.receiveNodeMessage(node.replica, node.linkId, effect);
       } else if (effect.type === "AskPeer") {
-        const asked = this.#nodes.get(effect.address);
-        const { incarnation } = asked ?? node;
+        const peer = this.#nodes.get(effect.address);
+        const { incarnation } = peer ?? node;
         const at = { incarnation, nowMs: this.#replicas.nowMs };
-        const answer = asked &&
-          answerClaimMessage(asked.claims, effect.message, at);
-        Object.assign(asked ?? {}, { claims: answer?.claims });
+        const answer = peer &&
+          answerClaimMessage(peer.claims, effect.message, at);
+        Object.assign(peer ?? {}, { claims: answer?.claims });
         const { requestId } = effect;
         this.#apply(node, takeReply(node.claims, requestId, answer?.reply));
       }
--- a/src/engine/control/test/peer_discovery_test.ts
+++ b/src/engine/control/test/peer_discovery_test.ts
@@ -1,4 +1,6 @@
-/** Replicas that find each other from seeds: founding, growth, replacement. */
+/**
+ * Replicas that discover each other from seeds: bootstrap, growth, replacement.
+ */
 import { expect } from "chai";
 import { createAnnouncement } from "../../membership/test/replicas.ts";
 import { Replicas } from "./replicas.ts";
@@ -31,40 +33,40 @@
   IDS.forEach((id) => replicas.start(id));
   const isGrown = () =>
     IDS.every((id) => listVoters(replicas, id).length === 5);
-  expect(replicas.run(isGrown), "all vote").to.equal(true);
+  expect(replicas.runUntil(isGrown), "all vote").to.equal(true);
   return replicas;
 }
 
 describe("replicas that find each other", () => {
-  it("are founded by the seeds and joined by the others", () => {
+  it("are bootstrapped by the seeds and joined by the others", () => {
     const replicas = startAll();
     expect(listVoters(replicas, "a")).to.deep.equal(IDS);
   });
 
-  it("are founded in any order of starts", () => {
+  it("are bootstrapped in any order of starts", () => {
     const replicas = createSet();
     for (const id of ["e", "c", "b", "d"]) {
       replicas.start(id);
-      replicas.run(() => false, 1_000);
+      replicas.runUntil(() => false, 1_000);
       expect(listVoters(replicas, id)).to.deep.equal([]);
     }
     replicas.start("a");
     const isGrown = () => listVoters(replicas, "d").length === 5;
-    expect(replicas.run(isGrown)).to.equal(true);
+    expect(replicas.runUntil(isGrown)).to.equal(true);
   });
 
-  it("replace one that is gone by one at another address", () => {
+  it("replace a lost replica by one at another address", () => {
     const replicas = startAll();
-    const gone = replicas.leader === "b" ? "c" : "b";
-    replicas.kill(gone);
-    replicas.wipe(gone);
+    const lost = replicas.leader === "b" ? "c" : "b";
+    replicas.kill(lost);
+    replicas.wipe(lost);
     replicas.start("f");
     const leader = () => replicas.leader ?? "a";
     const isReplaced = () => {
       const voters = listVoters(replicas, leader());
-      return voters.includes("f") && !voters.includes(gone);
+      return voters.includes("f") && !voters.includes(lost);
     };
-    expect(replicas.run(isReplaced)).to.equal(true);
+    expect(replicas.runUntil(isReplaced)).to.equal(true);
     expect(listVoters(replicas, leader())).to.have.length(5);
   });
 
@@ -79,35 +81,39 @@
     const votes = (id: string) =>
       replicas.get(replicas.leader ?? "a").consensus.configuration.voters
         .includes(id);
-    expect(replicas.run(() => votes(after) && !votes(before))).to.equal(true);
+    expect(replicas.runUntil(() => votes(after) && !votes(before))).to.equal(
+      true,
+    );
   });
 
   it("tell their nodes at once that they are behind a cut", () => {
     const replicas = startAll();
-    const cut = replicas.leader === "d" ? "e" : "d";
+    const partitioned = replicas.leader === "d" ? "e" : "d";
     const announcement = createAnnouncement("n");
     const linkNumber = 1;
     const tableVersion = 0;
-    replicas.tell(cut, 7, {
+    replicas.receiveNodeMessage(partitioned, 7, {
       type: "Announce",
       announcement,
       linkNumber,
       tableVersion,
     });
-    let told: boolean | undefined;
+    let isConfirmed: boolean | undefined;
     replicas.onLink = (id, _linkId, message) => {
-      if (id === cut && message.type === "HeartbeatAnswer") {
-        told = message.isConfirmed;
+      if (id === partitioned && message.type === "HeartbeatAnswer") {
+        isConfirmed = message.isConfirmed;
       }
     };
-    replicas.cut(cut);
-    expect(replicas.run(() => told === false, 1_500)).to.equal(true);
+    replicas.partition(partitioned);
+    expect(replicas.runUntil(() => isConfirmed === false, 1_500)).to.equal(
+      true,
+    );
   });
 
-  it("keep silent voters while nobody can take their place", () => {
+  it("keep silent voters while no replica can replace them", () => {
     const replicas = startAll();
     replicas.kill("d");
-    replicas.run(() => false, 20_000);
+    replicas.runUntil(() => false, 20_000);
     expect(listVoters(replicas, replicas.leader ?? "a")).to.deep.equal(IDS);
   });
 });
--- a/src/engine/control/test/replica_reducer_test.ts
+++ b/src/engine/control/test/replica_reducer_test.ts
@@ -1,4 +1,7 @@
-/** A control process that was frozen: what it tells its nodes first. */
+/**
+ * A control process that was suspended must not confirm its table when it
+ * resumes.
+ */
 import { expect } from "chai";
 import { createControl } from "../common/control_state.ts";
 import { reduceReplica } from "../common/replica_reducer.ts";
@@ -9,7 +12,7 @@
   it("vouches for nothing from its first event on", () => {
     const replicas = new Replicas(["a"]);
     replicas.start("a");
-    replicas.run(() => replicas.isConfirmed("a"));
+    replicas.runUntil(() => replicas.isConfirmed("a"));
     const { nowMs } = replicas;
     const control = createControl("a", nowMs);
     const state = { control, replication: replicas.get("a") };
@@ -28,9 +31,9 @@
       );
       return { answers, state: step.state };
     };
-    const awake = readAnswers(nowMs);
-    expect(awake.answers).to.deep.equal([true]);
-    const woken = readAnswers(nowMs + 3_600_000, awake.state);
-    expect(woken.answers).to.deep.equal([false]);
+    const before = readAnswers(nowMs);
+    expect(before.answers).to.deep.equal([true]);
+    const after = readAnswers(nowMs + 3_600_000, before.state);
+    expect(after.answers).to.deep.equal([false]);
   });
 });
--- a/src/engine/control/test/replicas.ts
+++ b/src/engine/control/test/replicas.ts
@@ -1,4 +1,4 @@
-/** Control replicas in memory: their disks, their links, and their nodes. */
+/** Control replicas in memory, with their disks, links and nodes. */
 import type { Recovered } from "../../consensus/common/log_types.ts";
 import type { ClusterMessage } from "../../link/common/cluster_messages.ts";
 import {
@@ -39,32 +39,33 @@
   snapshot: StoredSnapshot | undefined;
 }
 
-/** A replica set whose clock and faults the test drives. */
+/** A replica set whose clock and faults are driven by a test. */
 export class Replicas {
   nowMs = 1_000_000;
   /** Answers to edits, by request. */
   readonly results = new Map<number, EditResult>();
   /** Answers to reads, by request. */
   readonly reads = new Map<number, boolean>();
+  /** Recorded events, as the replica and the values of the fields. */
   readonly events: string[] = [];
   readonly #ids: readonly string[];
   readonly #createCluster: (self: string) => Cluster;
   readonly #running = new Map<string, ReplicaState>();
   readonly #disks = new Map<string, Disk>();
   readonly #queue: (() => void)[] = [];
-  readonly #cut = new Set<string>();
-  /** Messages for which this holds are lost. */
+  readonly #partitioned = new Set<string>();
+  /** Whether a message is lost. */
   isLost: (message: ClusterMessage, from: string, to: string) => boolean = () =>
     false;
-  /** Takes what a replica sends on a link to a node. */
+  /** Called with each message that a replica sends on a link to a node. */
   onLink: (id: string, linkId: number, message: OutboundMessage) => void =
     () => {};
   /** Called before each tick. */
   onTick: () => void = () => {};
   #nextRequest = 1;
-  #folders = 0;
+  #folderCount = 0;
 
-  /** Without `createCluster` all ids vote and know each other. */
+  /** Without `createCluster` all ids are voters and know each other. */
   constructor(
     ids: readonly string[],
     createCluster?: (self: string) => Cluster,
@@ -77,10 +78,10 @@
     }));
   }
 
-  /** Starts a replica on its disk, or on an empty one. */
+  /** Starts a replica with its disk, or with an empty one if it has none. */
   start(id: string): void {
     const disk = this.#disks.get(id) ?? {
-      replicaId: `${id}~${++this.#folders}`,
+      replicaId: `${id}~${++this.#folderCount}`,
       log: EMPTY_LOG,
       snapshot: undefined,
     };
@@ -97,12 +98,12 @@
     this.#running.set(id, { control, replication });
   }
 
-  /** Whether a replica runs. */
+  /** Whether a replica is running. */
   isRunning(id: string): boolean {
     return this.#running.has(id);
   }
 
-  /** Kills a replica; its disk stays. */
+  /** Kills a replica; its disk is retained. */
   kill(id: string): void {
     this.#running.delete(id);
   }
@@ -112,33 +113,33 @@
     this.#disks.delete(id);
   }
 
-  /** Cuts a replica off from all others, or links it again. */
-  cut(id: string, isCut = true): void {
-    if (isCut) {
-      this.#cut.add(id);
+  /** Partitions a replica from all others, or heals the partition. */
+  partition(id: string, isPartitioned = true): void {
+    if (isPartitioned) {
+      this.#partitioned.add(id);
     } else {
-      this.#cut.delete(id);
+      this.#partitioned.delete(id);
     }
   }
 
-  /** Gets a running replica. */
+  /** Gets the replication state of a running replica. */
   get(id: string): ReplicationState {
     return this.#running.get(id)!.replication;
   }
 
-  /** Hands a replica what a node says. */
-  tell(id: string, linkId: number, message: NodeMessage): void {
+  /** Dispatches a message of a node to a replica. */
+  receiveNodeMessage(id: string, linkId: number, message: NodeMessage): void {
     this.dispatch(id, { type: "NodeMessageReceived", linkId, message });
   }
 
-  /** Gets the id of the leader that the running replicas agree on. */
+  /** Gets the id of the running leader that isn't partitioned. */
   get leader(): string | undefined {
     return [...this.#running].find(([id, { replication }]) =>
-      replication.consensus.role.type === "Leader" && !this.#cut.has(id)
+      replication.consensus.role.type === "Leader" && !this.#partitioned.has(id)
     )?.[0];
   }
 
-  /** Whether a replica vouches for its table. */
+  /** Whether a replica has confirmed that its table is current. */
   isConfirmed(id: string): boolean {
     return isConfirmed(this.get(id), this.nowMs);
   }
@@ -158,8 +159,10 @@
     return requestId;
   }
 
-  /** Lets time pass until `isDone`, at most for `maxMs`. */
-  run(isDone: () => boolean, maxMs = 30_000): boolean {
+  /**
+   * Advances the clock until `isDone`, for `maxMs` at most; returns `isDone`.
+   */
+  runUntil(isDone: () => boolean, maxMs = 30_000): boolean {
     const endMs = this.nowMs + maxMs;
     while (this.nowMs < endMs) {
       if (isDone()) {
@@ -177,7 +180,9 @@
     return isDone();
   }
 
-  /** Steps a replica, and then all that follows at once. */
+  /**
+   * Dispatches an event to a replica, and then all events that follow from it.
+   */
   dispatch(id: string, event: ReplicaEvent): void {
     this.#queue.push(() => this.#step(id, event));
     if (this.#queue.length > 1) {
@@ -250,15 +255,16 @@
   }
 
   #sendPresence(from: string, to: string, message: PresenceMessage): void {
-    if (!this.#cut.has(from) && !this.#cut.has(to)) {
+    if (!this.#partitioned.has(from) && !this.#partitioned.has(to)) {
       const channel = { type: "Dialled", replica: from } as const;
       this.dispatch(to, { type: "PresenceReceived", channel, message });
     }
   }
 
   #send(from: string, to: string, message: ClusterMessage): void {
-    const isCut = this.#cut.has(from) || this.#cut.has(to);
-    if (!isCut && !this.isLost(message, from, to)) {
+    const isPartitioned = this.#partitioned.has(from) ||
+      this.#partitioned.has(to);
+    if (!isPartitioned && !this.isLost(message, from, to)) {
       this.dispatch(to, { type: "ClusterMessageReceived", message });
     }
   }
--- a/src/engine/control/test/replication_test.ts
+++ b/src/engine/control/test/replication_test.ts
@@ -1,4 +1,6 @@
-/** Founding, edits, reads and repair of the replica set, on its reducer. */
+/**
+ * Bootstrap, edits, reads and repair of the replica set, tested on its reducer.
+ */
 import { expect } from "chai";
 import type { TableChange } from "../../table/common/table_reducer.ts";
 import { parseRow } from "../../table/common/table_schema.ts";
@@ -30,12 +32,12 @@
   const replicas = new Replicas(ids);
   ids.forEach((id) => replicas.start(id));
   const isUp = () => ids.every((id) => replicas.isConfirmed(id));
-  expect(replicas.run(isUp), "the set serves").to.equal(true);
+  expect(replicas.runUntil(isUp), "the set serves").to.equal(true);
   return replicas;
 }
 
-/** Makes an edit and returns what it was answered, as one word. */
-function edit(
+/** Makes an edit and returns its result as a short text. */
+function editRow(
   replicas: Replicas,
   at: string,
   queue: number,
@@ -43,7 +45,7 @@
   editId = `edit-${queue}`,
 ): string {
   const request = replicas.edit(at, editId, putRow(queue, fromVersion));
-  replicas.run(() => replicas.results.has(request));
+  replicas.runUntil(() => replicas.results.has(request));
   const result = replicas.results.get(request);
   return result?.type === "EditAnswered"
     ? `${result.outcome.type} ${
@@ -56,9 +58,9 @@
   return replicas.get(id).tableState.table.version;
 }
 
-/** Waits until a replica holds a version of the table. */
-function waitVersion(replicas: Replicas, id: string, version: number): void {
-  replicas.run(() => readVersion(replicas, id) === version);
+/** Waits until a replica has a version of the table. */
+function waitForVersion(replicas: Replicas, id: string, version: number): void {
+  replicas.runUntil(() => readVersion(replicas, id) === version);
   expect(readVersion(replicas, id), id).to.equal(version);
 }
 
@@ -67,60 +69,60 @@
 }
 
 describe("replication", () => {
-  it("is founded once all voters are there, and not before", () => {
+  it("is bootstrapped once all voters have started, and not before", () => {
     const replicas = new Replicas(["a", "b", "c"]);
     replicas.start("a");
     replicas.start("b");
-    replicas.run(() => false, 10_000);
+    replicas.runUntil(() => false, 10_000);
     expect(listVoters(replicas, "a")).to.deep.equal([]);
     replicas.start("c");
-    expect(replicas.run(() => replicas.isConfirmed("c"))).to.equal(true);
+    expect(replicas.runUntil(() => replicas.isConfirmed("c"))).to.equal(true);
     expect(listVoters(replicas, "c")).to.deep.equal(["a~1", "b~2", "c~3"]);
   });
 
-  it("brings a voter in that was cut off after the founding", () => {
+  it("catches up a voter that was unreachable since the bootstrap", () => {
     const replicas = new Replicas(["a", "b", "c"]);
     replicas.isLost = ({ type }, _from, to) =>
       to === "c" && type === "ConsensusRelay";
     ["a", "b", "c"].forEach((id) => replicas.start(id));
-    replicas.run(() => replicas.isConfirmed("a"));
-    expect(edit(replicas, "b", 1, 0)).to.equal("EditAccepted 1");
+    replicas.runUntil(() => replicas.isConfirmed("a"));
+    expect(editRow(replicas, "b", 1, 0)).to.equal("EditAccepted 1");
     expect(listVoters(replicas, "c")).to.deep.equal([]);
     replicas.isLost = () => false;
-    waitVersion(replicas, "c", 1);
+    waitForVersion(replicas, "c", 1);
     expect(listVoters(replicas, "c")).to.deep.equal(["a~1", "b~2", "c~3"]);
   });
 
-  it("is never founded again by a first voter that was wiped", () => {
+  it("is never bootstrapped again by a first voter whose disk was wiped", () => {
     const replicas = startSet();
-    edit(replicas, "a", 1, 0);
-    waitVersion(replicas, "b", 1);
-    waitVersion(replicas, "c", 1);
+    editRow(replicas, "a", 1, 0);
+    waitForVersion(replicas, "b", 1);
+    waitForVersion(replicas, "c", 1);
     ["a", "b", "c"].forEach((id) => replicas.kill(id));
     replicas.wipe("a");
     ["a", "b", "c"].forEach((id) => replicas.start(id));
-    replicas.run(() => listVoters(replicas, "a").includes("a~4"));
+    replicas.runUntil(() => listVoters(replicas, "a").includes("a~4"));
     const { snapshot } = replicas.get("a").consensus;
     expect(snapshot?.configuration.voters ?? []).to.not.include("a~4");
-    waitVersion(replicas, "a", 1);
+    waitForVersion(replicas, "a", 1);
   });
 
-  it("accepts an edit at any replica, and gives a resend its answer", () => {
+  it("accepts an edit at any replica, and gives a resent edit its first answer", () => {
     const replicas = startSet();
-    expect(edit(replicas, "a", 1, 0)).to.equal("EditAccepted 1");
-    expect(edit(replicas, "b", 2, 1)).to.equal("EditAccepted 2");
-    expect(edit(replicas, "c", 3, 2)).to.equal("EditAccepted 3");
-    expect(edit(replicas, "a", 2, 1)).to.equal("EditAccepted 2");
+    expect(editRow(replicas, "a", 1, 0)).to.equal("EditAccepted 1");
+    expect(editRow(replicas, "b", 2, 1)).to.equal("EditAccepted 2");
+    expect(editRow(replicas, "c", 3, 2)).to.equal("EditAccepted 3");
+    expect(editRow(replicas, "a", 2, 1)).to.equal("EditAccepted 2");
     expect(readVersion(replicas, replicas.leader!)).to.equal(3);
   });
 
   it("accepts exactly one of the edits made from one version", () => {
     const replicas = startSet();
-    edit(replicas, "a", 1, 0);
+    editRow(replicas, "a", 1, 0);
     const requests = ["a", "b", "c"].map((id, at) =>
       replicas.edit(id, `race-${id}`, putRow(10 + at, 1))
     );
-    replicas.run(() => requests.every((r) => replicas.results.has(r)));
+    replicas.runUntil(() => requests.every((r) => replicas.results.has(r)));
     const outcomes = requests.map((request) => {
       const result = replicas.results.get(request)!;
       return result.type === "EditAnswered" ? result.outcome.type : "none";
@@ -131,17 +133,17 @@
 
   it("keeps answers over a leader that dies before its own", () => {
     const replicas = startSet();
-    edit(replicas, "a", 1, 0);
+    editRow(replicas, "a", 1, 0);
     const old = replicas.leader!;
     const other = ["a", "b", "c"].find((id) => id !== old)!;
     replicas.isLost = ({ type }) => type === "EditReply";
     const lost = replicas.edit(other, "edit-2", putRow(2, 1));
-    replicas.run(() => readVersion(replicas, other) === 2);
+    replicas.runUntil(() => readVersion(replicas, other) === 2);
     replicas.kill(old);
     replicas.isLost = () => false;
-    expect(edit(replicas, other, 2, 1)).to.equal("EditAccepted 2");
-    expect(edit(replicas, other, 3, 2)).to.equal("EditAccepted 3");
-    replicas.run(() => replicas.results.has(lost));
+    expect(editRow(replicas, other, 2, 1)).to.equal("EditAccepted 2");
+    expect(editRow(replicas, other, 3, 2)).to.equal("EditAccepted 3");
+    replicas.runUntil(() => replicas.results.has(lost));
     const outcome = { type: "EditAccepted", version: 2 };
     expect(replicas.results.get(lost))
       .to.deep.equal({ type: "EditAnswered", outcome });
@@ -149,95 +151,97 @@
 
   it("refuses edits and reads without a quorum", () => {
     const replicas = startSet();
-    edit(replicas, "a", 1, 0);
+    editRow(replicas, "a", 1, 0);
     replicas.kill("b");
     replicas.kill("c");
-    replicas.run(() => !replicas.isConfirmed("a"));
-    const left = edit(replicas, "a", 2, 1);
-    expect(left).to.match(/^EditRefused/);
-    expect(edit(replicas, "a", 3, 1)).to.equal("EditRefused not accepted");
+    replicas.runUntil(() => !replicas.isConfirmed("a"));
+    const first = editRow(replicas, "a", 2, 1);
+    expect(first).to.match(/^EditRefused/);
+    expect(editRow(replicas, "a", 3, 1)).to.equal("EditRefused not accepted");
     const read = replicas.read("a");
-    replicas.run(() => replicas.reads.has(read));
+    replicas.runUntil(() => replicas.reads.has(read));
     expect(replicas.reads.get(read)).to.equal(false);
     expect(replicas.isConfirmed("a")).to.equal(false);
   });
 
   it("never vouches for a replica behind a cut, and names it", () => {
     const replicas = startSet();
-    edit(replicas, "a", 1, 0);
-    waitVersion(replicas, "b", 1);
-    replicas.cut("b");
-    replicas.run(() => !replicas.isConfirmed("b"));
-    replicas.run(() => replicas.events.includes("a: ReplicaSilent b"));
-    edit(replicas, "a", 2, 1);
-    replicas.run(() => false, 600_000);
+    editRow(replicas, "a", 1, 0);
+    waitForVersion(replicas, "b", 1);
+    replicas.partition("b");
+    replicas.runUntil(() => !replicas.isConfirmed("b"));
+    replicas.runUntil(() => replicas.events.includes("a: ReplicaSilent b"));
+    editRow(replicas, "a", 2, 1);
+    replicas.runUntil(() => false, 600_000);
     expect(replicas.isConfirmed("b")).to.equal(false);
     expect(readVersion(replicas, "b")).to.equal(1);
     const { term } = replicas.get("a").consensus;
-    replicas.cut("b", false);
-    replicas.run(() => replicas.isConfirmed("b"));
+    replicas.partition("b", false);
+    replicas.runUntil(() => replicas.isConfirmed("b"));
     expect(readVersion(replicas, "b")).to.equal(2);
-    replicas.run(() => replicas.events.includes("a: ReplicaHeard b"));
+    replicas.runUntil(() => replicas.events.includes("a: ReplicaHeard b"));
     expect(replicas.events).to.include("a: ReplicaHeard b");
     expect(replicas.get("a").consensus.term, "undisturbed").to.equal(term);
   });
 
-  it("comes back with the table and the answers after all restart", () => {
+  it("restores the table and the answers after all replicas restart", () => {
     const replicas = startSet();
     for (let version = 0; version < 1_200; version++) {
-      const done = edit(replicas, "a", version + 1, version);
+      const done = editRow(replicas, "a", version + 1, version);
       expect(done).to.equal(`EditAccepted ${version + 1}`);
     }
     const { snapshot } = replicas.get(replicas.leader!).consensus;
     expect(snapshot!.lastIndex).to.be.greaterThan(999);
     ["a", "b", "c"].forEach((id) => replicas.kill(id));
     ["a", "b", "c"].forEach((id) => replicas.start(id));
-    replicas.run(() => replicas.isConfirmed("b"));
+    replicas.runUntil(() => replicas.isConfirmed("b"));
     expect(readVersion(replicas, "b")).to.equal(1_200);
-    expect(edit(replicas, "c", 5, 4)).to.equal("EditAccepted 5");
+    expect(editRow(replicas, "c", 5, 4)).to.equal("EditAccepted 5");
   });
 
   it("replaces a wiped replica, and then loses another safely", () => {
     const replicas = startSet();
     for (let version = 0; version < 20; version++) {
-      edit(replicas, "a", version + 1, version);
+      editRow(replicas, "a", version + 1, version);
     }
     const wiped = ["a", "b", "c"].find((id) => id !== replicas.leader)!;
     replicas.kill(wiped);
     replicas.wipe(wiped);
-    expect(edit(replicas, replicas.leader!, 21, 20))
+    expect(editRow(replicas, replicas.leader!, 21, 20))
       .to.equal("EditAccepted 21");
     replicas.start(wiped);
     const isRepaired = () => {
       const voters = listVoters(replicas, replicas.leader!);
       return voters.length === 3 && voters.includes(`${wiped}~4`);
     };
-    expect(replicas.run(isRepaired), "repaired").to.equal(true);
+    expect(replicas.runUntil(isRepaired), "repaired").to.equal(true);
     replicas.kill(replicas.leader!);
-    expect(edit(replicas, wiped, 22, 21)).to.equal("EditAccepted 22");
-    waitVersion(replicas, wiped, 22);
+    expect(editRow(replicas, wiped, 22, 21)).to.equal("EditAccepted 22");
+    waitForVersion(replicas, wiped, 22);
   });
 
-  it("refuses rather than forgets where two are lost before a repair", () => {
+  it("refuses edits rather than losing some if two replicas are wiped at once", () => {
     const replicas = startSet();
-    edit(replicas, "a", 1, 0);
-    waitVersion(replicas, "c", 1);
+    editRow(replicas, "a", 1, 0);
+    waitForVersion(replicas, "c", 1);
     for (const id of ["a", "b"]) {
       replicas.kill(id);
       replicas.wipe(id);
     }
     replicas.start("a");
     replicas.start("b");
-    replicas.run(() => false, 60_000);
+    replicas.runUntil(() => false, 60_000);
     expect(replicas.leader).to.equal(undefined);
-    expect(edit(replicas, "a", 2, 0)).to.equal("EditRefused not accepted");
+    expect(editRow(replicas, "a", 2, 0)).to.equal("EditRefused not accepted");
     expect(readVersion(replicas, "c")).to.equal(1);
   });
 
-  it("hands leadership over on a planned stop", () => {
+  it("transfers leadership on a planned stop", () => {
     const replicas = startSet();
     const old = replicas.leader!;
     replicas.dispatch(old, { type: "StopPlanned" });
-    expect(replicas.run(() => replicas.leader !== old, 500)).to.equal(true);
+    expect(replicas.runUntil(() => replicas.leader !== old, 500)).to.equal(
+      true,
+    );
   });
 });
--- a/src/engine/control/test/revocation_model_test.ts
+++ b/src/engine/control/test/revocation_model_test.ts
@@ -1,6 +1,6 @@
 /**
- * Revocation under faults, by seeds: replicas in memory, nodes that ask them
- * for proofs, and callers that go on with keys that were taken away.
+ * Model of key revocation under random faults: replicas in memory, nodes that
+ * request proofs from them, and callers that continue to use revoked keys.
  */
 import { expect } from "chai";
 import process from "node:process";
@@ -14,32 +14,35 @@
 import { KeyAccess } from "../../workspaces/common/key_access.ts";
 import { Replicas } from "./replicas.ts";
 
-const REVOKE_MS = 5_000;
+const MAX_REVOCATION_MS = 5_000;
 const LEASE_MS = 4_900;
 const IDS = ["a", "b", "c"];
-const NODES = 3;
-const RUN_MS = 40_000;
+const NODE_COUNT = 3;
+const DURATION_MS = 40_000;
 const TICK_MS = 50;
-const HEARTBEAT_MS = 1_000;
-/** An edit without an answer for so long has none to come. */
-const EDIT_MS = 8_000;
-const SEEDS = Number(process.env["REVOCATION_SEEDS"] ?? 20);
+const HEARTBEAT_INTERVAL_MS = 1_000;
+/** Time after which an unanswered edit is abandoned. */
+const EDIT_TIMEOUT_MS = 8_000;
+const SEED_COUNT = Number(process.env["REVOCATION_SEEDS"] ?? 20);
 
 interface ModelOptions {
   readonly leaseMs: number | undefined;
-  /** Whether nodes see the time that they were suspended for. */
-  readonly seesSuspension: boolean;
+  /** Whether the wall clock lets nodes detect that they were suspended. */
+  readonly detectsSuspension: boolean;
 }
 
-const SOUND: ModelOptions = { leaseMs: LEASE_MS, seesSuspension: true };
+const CORRECT_OPTIONS: ModelOptions = {
+  leaseMs: LEASE_MS,
+  detectsSuspension: true,
+};
 
-/** A request on its way to a node. */
-interface Sent {
+/** A request that was sent to a node and not yet checked. */
+interface SentRequest {
   readonly key: string;
   readonly sentAtMs: number;
 }
 
-/** A node: its clocks, its link and what it holds. */
+/** A node with its clocks, its link and its version of the routes. */
 class ModelNode {
   readonly #options: ModelOptions;
   readonly #replicas: Replicas;
@@ -49,9 +52,9 @@
   replica: string;
   suspendedMs = 0;
   steppedMs = 0;
-  stillUntilMs = 0;
+  pausedUntilMs = 0;
   readonly inbox: OutboundMessage[] = [];
-  readonly unread: Sent[] = [];
+  readonly pendingRequests: SentRequest[] = [];
 
   constructor(replicas: Replicas, linkId: number, options: ModelOptions) {
     this.#options = options;
@@ -61,19 +64,19 @@
     this.access = this.#createAccess();
   }
 
-  get isStill(): boolean {
-    return this.#replicas.nowMs < this.stillUntilMs;
+  get isPaused(): boolean {
+    return this.#replicas.nowMs < this.pausedUntilMs;
   }
 
-  /** Opens a link to a replica, and says what is held. */
-  link(replica: string): void {
+  /** Opens a link to a replica, and announces the version of the routes. */
+  connect(replica: string): void {
     this.replica = replica;
     this.inbox.length = 0;
     this.#replicas.dispatch(replica, {
       type: "LinkClosed",
       linkId: this.linkId,
     });
-    this.#replicas.tell(replica, this.linkId, {
+    this.#replicas.receiveNodeMessage(replica, this.linkId, {
       type: "Announce",
       announcement: createAnnouncement(`n-${this.linkId}`),
       linkNumber: 1,
@@ -87,8 +90,8 @@
     this.version = 0;
   }
 
-  ask(): void {
-    this.#replicas.tell(this.replica, this.linkId, {
+  requestProof(): void {
+    this.#replicas.receiveNodeMessage(this.replica, this.linkId, {
       type: "Heartbeat",
       tableVersion: 0,
       routesVersion: this.version,
@@ -96,10 +99,10 @@
     });
   }
 
-  read(): void {
+  processInbox(): void {
     for (const message of this.inbox.splice(0)) {
       if (message.type === "RoutesUpdate") {
-        this.#takeRoutes(message.routes);
+        this.#receiveRoutes(message.routes);
       } else if (
         message.type === "RoutesProved" &&
         this.version >= message.routesVersion
@@ -113,7 +116,7 @@
     return this.#replicas.nowMs - this.suspendedMs;
   }
 
-  #takeRoutes(routes: RouteTable): void {
+  #receiveRoutes(routes: RouteTable): void {
     if (routes.version > this.version) {
       this.version = routes.version;
       this.access.replaceWorkspaces(routes.workspaces ?? []);
@@ -121,13 +124,13 @@
   }
 
   #createAccess(): KeyAccess {
-    const { leaseMs, seesSuspension } = this.#options;
+    const { leaseMs, detectsSuspension } = this.#options;
     return new KeyAccess({
       leaseMs,
       readClocks: () => {
         const { nowMs } = this.#replicas;
         const { steadyMs } = this;
-        const wallMs = seesSuspension ? nowMs + this.steppedMs : steadyMs;
+        const wallMs = detectsSuspension ? nowMs + this.steppedMs : steadyMs;
         return { steadyMs, wallMs };
       },
       computeDigest: (key) => key,
@@ -135,29 +138,29 @@
   }
 }
 
-/** Replicas, nodes, an operator that takes keys away, and callers. */
+/** Replicas, nodes, callers, and an operator that revokes keys. */
 class RevocationModel {
   readonly #random: Random;
   readonly #replicas = new Replicas(IDS);
   readonly #nodes: readonly ModelNode[];
-  /** When a key was taken away and this was acknowledged. */
+  /** When the revocation of a key was acknowledged. */
   readonly #revokedAtMs = new Map<string, number>();
-  /** The newest configuration that the operator knows of. */
+  /** Version of the newest configuration known to the operator. */
   #version = 0;
   #keys: readonly string[] = ["k0"];
-  /** Keys by version, of all configurations that were sent. */
+  /** Keys of each configuration that was sent, by version. */
   readonly #sent = new Map<number, readonly string[]>();
   #request: number | undefined;
   #requestedAtMs = 0;
-  readonly faults: string[] = [];
-  granted = 0;
-  asked = 0;
+  readonly violations: string[] = [];
+  grantedCount = 0;
+  checkedCount = 0;
 
   constructor(seed: number, options: ModelOptions) {
     this.#random = createRandom(seed);
     IDS.forEach((id) => this.#replicas.start(id));
     this.#nodes = Array.from(
-      { length: NODES },
+      { length: NODE_COUNT },
       (_, at) => new ModelNode(this.#replicas, at + 1, options),
     );
     this.#replicas.onLink = (id, linkId, message) => {
@@ -168,23 +171,27 @@
     };
   }
 
-  play(hasFaults = true): void {
+  run(hasFaults = true): void {
     const { nowMs } = this.#replicas;
-    this.#replicas.run(() => IDS.every((id) => this.#replicas.isConfirmed(id)));
-    this.#nodes.forEach((node) => node.link(node.replica));
-    const endMs = nowMs + RUN_MS;
+    this.#replicas.runUntil(() =>
+      IDS.every((id) => this.#replicas.isConfirmed(id))
+    );
+    this.#nodes.forEach((node) => node.connect(node.replica));
+    const endMs = nowMs + DURATION_MS;
     while (this.#replicas.nowMs < endMs) {
-      this.#replicas.run(() => false, TICK_MS);
-      this.#operate();
+      this.#replicas.runUntil(() => false, TICK_MS);
+      this.#stepOperator();
       if (hasFaults) {
-        this.#break();
+        this.#injectFault();
       }
-      this.#nodes.forEach((node) => this.#step(node));
+      this.#nodes.forEach((node) => this.#stepNode(node));
     }
   }
 
-  /** One edit at a time: a new key comes and the oldest one goes. */
-  #operate(): void {
+  /**
+   * Edits the keys, one edit at a time: adds a key and revokes the oldest one.
+   */
+  #stepOperator(): void {
     if (this.#request === undefined) {
       if (this.#random() < 0.03) {
         this.#startEdit();
@@ -193,9 +200,10 @@
     }
     const result = this.#replicas.results.get(this.#request);
     if (result === undefined) {
-      // A replica that was killed never answers; the edit may be accepted.
-      const isOld = this.#replicas.nowMs - this.#requestedAtMs > EDIT_MS;
-      this.#request = isOld ? undefined : this.#request;
+      // A killed replica never answers; the edit may still be accepted.
+      const isAbandoned =
+        this.#replicas.nowMs - this.#requestedAtMs > EDIT_TIMEOUT_MS;
+      this.#request = isAbandoned ? undefined : this.#request;
       return;
     }
     this.#request = undefined;
@@ -208,7 +216,7 @@
       this.#keys = keys;
       this.#version = outcome.version;
     } else if (outcome?.type === "RoutesConflicted") {
-      // One without a clear answer was accepted; it was never acknowledged.
+      // An abandoned edit was accepted, but never acknowledged.
       this.#keys = this.#sent.get(outcome.version)!;
       this.#version = outcome.version;
     }
@@ -226,68 +234,72 @@
     }
   }
 
-  #break(): void {
+  #injectFault(): void {
     const node = this.#pick(this.#nodes);
     const id = this.#pick(IDS);
     const draw = this.#random();
     if (draw < 0.01) {
-      // Healed more often than cut: a quorum is there most of the time.
-      this.#replicas.cut(id, this.#random() < 0.25);
+      // Healing is likelier than a partition, so that there mostly is a quorum.
+      this.#replicas.partition(id, this.#random() < 0.25);
     } else if (draw < 0.015) {
       this.#replicas.kill(id);
     } else if (draw < 0.03) {
-      this.#revive(id);
+      this.#startIfStopped(id);
     } else if (draw < 0.04) {
-      // Suspended: the steady clock stands still, requests pile up.
+      // Suspended: the steady clock stops, and requests accumulate.
       const ms = Math.floor(this.#random() * 9_000);
-      node.stillUntilMs = this.#replicas.nowMs + ms;
+      node.pausedUntilMs = this.#replicas.nowMs + ms;
       node.suspendedMs += ms;
     } else if (draw < 0.045) {
-      node.stillUntilMs = this.#replicas.nowMs + this.#random() * 9_000;
+      node.pausedUntilMs = this.#replicas.nowMs + this.#random() * 9_000;
     } else if (draw < 0.05) {
       node.restart();
-      node.link(id);
+      node.connect(id);
     } else if (draw < 0.055) {
       node.steppedMs += Math.floor((this.#random() - 0.5) * 6_000);
     } else if (draw < 0.07) {
-      node.link(id);
+      node.connect(id);
     }
   }
 
-  #revive(id: string): void {
+  #startIfStopped(id: string): void {
     if (!this.#replicas.isRunning(id)) {
       this.#replicas.start(id);
     }
   }
 
-  #step(node: ModelNode): void {
+  #stepNode(node: ModelNode): void {
     if (this.#random() < 0.3) {
       const known = [...this.#revokedAtMs.keys(), ...this.#keys];
       const sentAtMs = this.#replicas.nowMs;
-      node.unread.push({ key: this.#pick(known), sentAtMs });
+      node.pendingRequests.push({ key: this.#pick(known), sentAtMs });
     }
-    if (node.isStill) {
+    if (node.isPaused) {
       return;
     }
-    // A process that wakes may read requests before anything else.
+    // A process that resumes may read requests before any other message.
     if (this.#random() < 0.5) {
-      node.read();
+      node.processInbox();
     }
-    node.unread.splice(0).forEach((sent) => this.#check(node, sent));
-    if (this.#replicas.nowMs % HEARTBEAT_MS === 0) {
-      node.ask();
+    node.pendingRequests.splice(0).forEach((sent) =>
+      this.#checkRequest(node, sent)
+    );
+    if (this.#replicas.nowMs % HEARTBEAT_INTERVAL_MS === 0) {
+      node.requestProof();
     }
   }
 
-  #check(node: ModelNode, { key, sentAtMs }: Sent): void {
-    this.asked += 1;
+  #checkRequest(node: ModelNode, { key, sentAtMs }: SentRequest): void {
+    this.checkedCount += 1;
     const access = node.access.check(key, node.steadyMs);
     const revokedAtMs = this.#revokedAtMs.get(key);
     if (access.type === "Granted") {
-      this.granted += 1;
-      if (revokedAtMs !== undefined && sentAtMs > revokedAtMs + REVOKE_MS) {
-        this.faults.push(
-          `${key} ran ${sentAtMs - revokedAtMs} ms after it was taken away`,
+      this.grantedCount += 1;
+      if (
+        revokedAtMs !== undefined && sentAtMs > revokedAtMs + MAX_REVOCATION_MS
+      ) {
+        this.violations.push(
+          `${key} ran ${sentAtMs - revokedAtMs} ms after its revocation`,
         );
       }
     }
@@ -322,45 +334,47 @@
   };
 }
 
-function play(seed: number, options: ModelOptions): RevocationModel {
+function runModel(seed: number, options: ModelOptions): RevocationModel {
   const model = new RevocationModel(seed, options);
-  model.play();
+  model.run();
   return model;
 }
 
-function countFaults(options: ModelOptions): number {
-  const seeds = Array.from({ length: SEEDS }, (_, at) => at + 1);
+function countViolations(options: ModelOptions): number {
+  const seeds = Array.from({ length: SEED_COUNT }, (_, at) => at + 1);
   return seeds.reduce(
-    (sum, seed) => sum + play(seed, options).faults.length,
+    (sum, seed) => sum + runModel(seed, options).violations.length,
     0,
   );
 }
 
 describe("a revoked key", () => {
-  it(`runs nothing after its time, whatever fails: ${SEEDS} seeds`, () => {
-    let asked = 0;
-    let granted = 0;
-    for (let seed = 1; seed <= SEEDS; seed += 1) {
-      const played = play(seed, SOUND);
-      expect(played.faults, `seed ${seed}`).to.deep.equal([]);
-      asked += played.asked;
-      granted += played.granted;
+  it(`runs nothing after its time, whatever fails: ${SEED_COUNT} seeds`, () => {
+    let checkedCount = 0;
+    let grantedCount = 0;
+    for (let seed = 1; seed <= SEED_COUNT; seed += 1) {
+      const model = runModel(seed, CORRECT_OPTIONS);
+      expect(model.violations, `seed ${seed}`).to.deep.equal([]);
+      checkedCount += model.checkedCount;
+      grantedCount += model.grantedCount;
     }
-    // A quorum may be gone for most of one seed, but not of all of them.
-    expect(granted).to.be.above(asked / 10);
+    // There may be no quorum for most of one run, but not of all runs.
+    expect(grantedCount).to.be.above(checkedCount / 10);
   }).timeout(300_000);
 
   it("would run where nodes had no lease", () => {
-    expect(countFaults({ ...SOUND, leaseMs: undefined })).to.be.above(0);
+    expect(countViolations({ ...CORRECT_OPTIONS, leaseMs: undefined })).to.be
+      .above(0);
   }).timeout(300_000);
 
   it("would run where nodes didn't see that they were suspended", () => {
-    expect(countFaults({ ...SOUND, seesSuspension: false })).to.be.above(0);
+    expect(countViolations({ ...CORRECT_OPTIONS, detectsSuspension: false })).to
+      .be.above(0);
   }).timeout(300_000);
 
-  it("costs no request where nothing fails", () => {
-    const model = new RevocationModel(1, SOUND);
-    model.play(false);
-    expect(model.granted).to.be.above(50);
+  it("grants requests with valid keys where nothing fails", () => {
+    const model = new RevocationModel(1, CORRECT_OPTIONS);
+    model.run(false);
+    expect(model.grantedCount).to.be.above(50);
   });
 });
--- a/src/engine/control/test/routes_proof_test.ts
+++ b/src/engine/control/test/routes_proof_test.ts
@@ -1,4 +1,6 @@
-/** Proofs of the newest routes: by a round of reads that began afterwards. */
+/**
+ * Proofs of the newest routes by rounds of reads that start after the request.
+ */
 import { expect } from "chai";
 import type { OutboundMessage } from "../../link/common/link_messages.ts";
 import { createAnnouncement } from "../../membership/test/replicas.ts";
@@ -25,7 +27,7 @@
     });
   }
 
-  ask(proof: number): void {
+  requestProof(proof: number): void {
     this.#dispatch({
       type: "NodeMessageReceived",
       linkId: LINK,
@@ -33,8 +35,11 @@
     });
   }
 
-  /** Numbers of the proofs that follow from where the rounds are now. */
-  move(started: number, confirmed: number): readonly number[] {
+  /**
+   * Updates the rounds of reads; returns the numbers of the proofs that are
+   * sent.
+   */
+  updateRounds(started: number, confirmed: number): readonly number[] {
     const readRounds = { started, confirmed };
     return this.#dispatch({ type: "RoundsReplaced", readRounds })
       .flatMap((message) =>
@@ -54,21 +59,21 @@
 describe("a proof of the newest routes", () => {
   it("doesn't come from a round that was under way when it was asked for", () => {
     const run = new ProofRun();
-    run.move(3, 2);
-    run.ask(1);
-    expect(run.move(3, 3)).to.deep.equal([]);
-    expect(run.move(4, 3)).to.deep.equal([]);
-    expect(run.move(4, 4)).to.deep.equal([1]);
-    expect(run.move(5, 5)).to.deep.equal([]);
+    run.updateRounds(3, 2);
+    run.requestProof(1);
+    expect(run.updateRounds(3, 3)).to.deep.equal([]);
+    expect(run.updateRounds(4, 3)).to.deep.equal([]);
+    expect(run.updateRounds(4, 4)).to.deep.equal([1]);
+    expect(run.updateRounds(5, 5)).to.deep.equal([]);
   });
 
-  it("answers the last of several questions, and later ones later", () => {
+  it("answers the last of several requests, and later ones with a later round", () => {
     const run = new ProofRun();
-    run.ask(1);
-    run.ask(2);
-    run.move(1, 0);
-    run.ask(3);
-    expect(run.move(1, 1)).to.deep.equal([2]);
-    expect(run.move(2, 2)).to.deep.equal([3]);
+    run.requestProof(1);
+    run.requestProof(2);
+    run.updateRounds(1, 0);
+    run.requestProof(3);
+    expect(run.updateRounds(1, 1)).to.deep.equal([2]);
+    expect(run.updateRounds(2, 2)).to.deep.equal([3]);
   });
 });
--- a/src/engine/control/test/usage_step_test.ts
+++ b/src/engine/control/test/usage_step_test.ts
@@ -1,4 +1,6 @@
-/** Usage of workspaces: added up by replicas, told to their nodes. */
+/**
+ * Usage of workspaces: added up by replicas, which send shares to their nodes.
+ */
 import { expect } from "chai";
 import type { OutboundMessage } from "../../link/common/link_messages.ts";
 import { createAnnouncement } from "../../membership/test/replicas.ts";
@@ -20,7 +22,7 @@
   burst: 100,
 };
 const TICK_MS = 500;
-const LEARNT_MS = 3_000;
+const WARMED_UP_MS = 3_000;
 
 function createUsage(asked: number): WorkspaceUsage {
   return {
@@ -32,11 +34,11 @@
   };
 }
 
-/** One replica with two nodes, and the last shares that they were told. */
+/** A replica with two nodes, and the last update of shares sent to them. */
 class UsageRun {
   nowMs = 1_000_000;
   state: ControlState;
-  told: OutboundMessage | undefined;
+  lastUpdate: OutboundMessage | undefined;
   readonly digests: unknown[] = [];
 
   constructor() {
@@ -74,7 +76,7 @@
       if (
         effect.type === "SendToLink" && effect.message.type === "SharesUpdate"
       ) {
-        this.told = effect.message;
+        this.lastUpdate = effect.message;
       } else if (
         effect.type === "SendToReplicas" &&
         effect.message.type === "UsageDigest"
@@ -84,8 +86,8 @@
     }
   }
 
-  /** Lets time pass in which both nodes report the same. */
-  pass(ms: number, asked: number): void {
+  /** Advances the clock while both nodes report the same usage. */
+  advance(ms: number, asked: number): void {
     const endMs = this.nowMs + ms;
     const usages = asked === 0 ? [] : [createUsage(asked)];
     while (this.nowMs < endMs) {
@@ -98,8 +100,8 @@
     }
   }
 
-  /** Another replica's nodes were asked for so much. */
-  hear(asked: number): void {
+  /** Receives a digest of the usage at another replica's nodes. */
+  receiveDigest(asked: number): void {
     this.dispatch({
       type: "PresenceReceived",
       channel: { type: "Dialled", replica: "b" },
@@ -114,30 +116,30 @@
 }
 
 describe("the usage of workspaces", () => {
-  it("is told to nodes once a replica can know of all", () => {
+  it("results in shares once a replica can know the total usage", () => {
     const run = new UsageRun();
-    run.pass(LEARNT_MS / 2, 2_000);
-    expect(run.told).to.equal(undefined);
-    run.pass(LEARNT_MS, 2_000);
-    expect(run.told).to.have.property("nodes", 2);
-    expect(run.told).to.have.nested.property("shares[0][0]", "mill");
-    expect(run.told).to.have.nested.property("shares[0][1]")
+    run.advance(WARMED_UP_MS / 2, 2_000);
+    expect(run.lastUpdate).to.equal(undefined);
+    run.advance(WARMED_UP_MS, 2_000);
+    expect(run.lastUpdate).to.have.property("nodes", 2);
+    expect(run.lastUpdate).to.have.nested.property("shares[0][0]", "mill");
+    expect(run.lastUpdate).to.have.nested.property("shares[0][1]")
       .within(0.03, 0.2);
   });
 
-  it("counts what other replicas hear", () => {
+  it("includes the usage reported by other replicas", () => {
     const run = new UsageRun();
-    run.pass(LEARNT_MS, 250);
-    expect(run.told).to.have.property("shares").with.length(0);
-    run.hear(600);
-    run.pass(TICK_MS, 250);
-    expect(run.told).to.have.property("nodes", 5);
-    expect(run.told).to.have.nested.property("shares[0][1]").below(1);
+    run.advance(WARMED_UP_MS, 250);
+    expect(run.lastUpdate).to.have.property("shares").with.length(0);
+    run.receiveDigest(600);
+    run.advance(TICK_MS, 250);
+    expect(run.lastUpdate).to.have.property("nodes", 5);
+    expect(run.lastUpdate).to.have.nested.property("shares[0][1]").below(1);
   });
 
   it("is reported to operators, without keys", () => {
     const run = new UsageRun();
-    run.pass(LEARNT_MS, 2_000);
+    run.advance(WARMED_UP_MS, 2_000);
     const [report] = createWorkspaceReports(run.state, run.nowMs);
     expect(report).to.include({
       name: "mill",
@@ -152,18 +154,18 @@
 
   it("is no longer counted once its reporter is silent", () => {
     const run = new UsageRun();
-    run.hear(2_000);
-    run.pass(LEARNT_MS, 100);
-    run.pass(LEARNT_MS, 100);
-    expect(run.told).to.have.property("shares").with.length(0);
+    run.receiveDigest(2_000);
+    run.advance(WARMED_UP_MS, 100);
+    run.advance(WARMED_UP_MS, 100);
+    expect(run.lastUpdate).to.have.property("shares").with.length(0);
   });
 
-  it("isn't told to other replicas while it is far below the limit", () => {
+  it("isn't sent to other replicas while it is far below the limit", () => {
     const run = new UsageRun();
-    run.hear(0);
-    run.pass(TICK_MS, 20);
+    run.receiveDigest(0);
+    run.advance(TICK_MS, 20);
     expect(run.digests.at(-1)).to.have.property("usages").with.length(0);
-    run.pass(TICK_MS, 100);
+    run.advance(TICK_MS, 100);
     expect(run.digests.at(-1)).to.have.property("usages").with.length(1);
   });
 });
