--- a/src/engine/control/common/replication_reducer.ts
+++ b/src/engine/control/common/replication_reducer.ts
@@ -17,7 +17,7 @@
 import { applyEffects, stepConsensus } from "./consensus_step.ts";
 import { expireEdits, receiveReply } from "./edit_requests.ts";
 import { sendDueEdits, startEdit } from "./edit_sending.ts";
-import { bootstrapCluster, finishBootstrap, isEmpty } from "./founding.ts";
+import { bootstrapCluster, finishBootstrap, isEmpty } from "./bootstrap.ts";
 import {
   addHelloPeers,
   addPeers,
