--- a/src/engine/relay/node/caller_server.ts
+++ b/src/engine/relay/node/caller_server.ts
@@ -336,7 +336,7 @@
     }
     const mayStart = workspace === undefined || this.#canContinue(
       exchange,
-      this.#options.workspaces.checkWhole(workspace),
+      this.#options.workspaces.recheckLease(workspace),
     );
     if (mayStart) {
       this.#start(exchange, route, received);
@@ -346,7 +346,7 @@
   /** Stops counting a request that was not run against its workspace's limit. */
   #refundQuota(workspace: Workspace | undefined): void {
     if (workspace !== undefined) {
-      this.#options.workspaces.giveBack(workspace);
+      this.#options.workspaces.recordNotRun(workspace);
     }
   }
 
