--- a/src/daemon/relay_daemon.ts
+++ b/src/daemon/relay_daemon.ts
@@ -164,7 +164,7 @@
         startCall: (request, service, onResult) =>
           this.#entry.start(request, service, onResult),
         observeCall: (call) => this.#tree.observe(call, readSteadyMs()),
-        onConnection: () => {
+        recordConnection: () => {
           this.#loop.noteAccepted();
           this.#firstRequests.noteAccepted();
         },
--- a/src/engine/call/common/entry_reply.ts
+++ b/src/engine/call/common/entry_reply.ts
@@ -152,7 +152,11 @@
 ): NodeStep {
   const { checked, status } = reported;
   if (status === "lives") {
-    const confirmed: Attempt = { ...checked, heardAtMs: nowMs, misses: 0 };
+    const confirmed: Attempt = {
+      ...checked,
+      lastConfirmedAtMs: nowMs,
+      misses: 0,
+    };
     return createReduction(replaceAttempt(state, call, confirmed));
   }
   const misses = checked.misses + 1;
@@ -160,9 +164,10 @@
     misses >= MAX_MISSED_STATUSES;
   if (!isAbandoned) {
     // An answer may be in transit: the status is due again after a grace time.
-    const heardAtMs = nowMs - computeStatusDelayMs(call) + ANSWER_GRACE_MS;
+    const lastConfirmedAtMs = nowMs - computeStatusDelayMs(call) +
+      ANSWER_GRACE_MS;
     return createReduction(
-      replaceAttempt(state, call, { ...checked, heardAtMs, misses }),
+      replaceAttempt(state, call, { ...checked, lastConfirmedAtMs, misses }),
     );
   }
   const isNotRun = status === "not-run";
--- a/src/engine/relay/common/link_silence.ts
+++ b/src/engine/relay/common/link_silence.ts
@@ -6,7 +6,7 @@
  * Returns when a message of the node at an address was last received; undefined
  * if there is no link, as to the own node.
  */
-export type GetLastReceivedMs = (address: string) => number | undefined;
+export type GetLastReceivedAtMs = (address: string) => number | undefined;
 
 /**
  * A link with calls in progress is closed after this silence. The other end
@@ -31,26 +31,26 @@
  */
 export function measureCallSilence(
   attempt: Attempt | undefined,
-  getLastReceivedMs: GetLastReceivedMs,
+  getLastReceivedAtMs: GetLastReceivedAtMs,
   nowMs: number,
 ): number {
   if (attempt === undefined) {
     return 0;
   }
-  const lastReceivedMs = getLastReceivedMs(attempt.address);
-  return lastReceivedMs === undefined
+  const lastReceivedAtMs = getLastReceivedAtMs(attempt.address);
+  return lastReceivedAtMs === undefined
     ? 0
-    : nowMs - Math.max(lastReceivedMs, attempt.sentAtMs);
+    : nowMs - Math.max(lastReceivedAtMs, attempt.sentAtMs);
 }
 
 /** Whether a member with calls in progress has been silent for too long. */
 export function isMemberSilent(
   member: Member,
-  getLastReceivedMs: GetLastReceivedMs,
+  getLastReceivedAtMs: GetLastReceivedAtMs,
   nowMs: number,
 ): boolean {
   const { announcement, outstanding, busySinceMs } = member;
-  const lastReceivedMs = getLastReceivedMs(announcement.ingress);
-  return lastReceivedMs !== undefined && outstanding > 0 &&
-    nowMs - Math.max(lastReceivedMs, busySinceMs) > MEMBER_SILENCE_LIMIT_MS;
+  const lastReceivedAtMs = getLastReceivedAtMs(announcement.ingress);
+  return lastReceivedAtMs !== undefined && outstanding > 0 &&
+    nowMs - Math.max(lastReceivedAtMs, busySinceMs) > MEMBER_SILENCE_LIMIT_MS;
 }
--- a/src/engine/relay/node/caller_replies.ts
+++ b/src/engine/relay/node/caller_replies.ts
@@ -21,8 +21,8 @@
   readonly closeIfLast: (exchange: Exchange) => boolean;
 }
 
-/** Wait limit of a caller that states none; the route may set a lower one. */
-export const DEFAULT_WAIT_LIMIT_MS = 600_000;
+/** Timeout of a caller that states none; the route may set a shorter one. */
+export const DEFAULT_CALLER_TIMEOUT_MS = 600_000;
 
 const EMPTY = new Uint8Array();
 
@@ -61,7 +61,7 @@
   ): void {
     const { dialect, readClock, draw } = this.#options;
     const { request, arrivedAtMs } = exchange;
-    const { timeoutMs: callerTimeoutMs = DEFAULT_WAIT_LIMIT_MS } = dialect
+    const { timeoutMs: callerTimeoutMs = DEFAULT_CALLER_TIMEOUT_MS } = dialect
       .readRequestMetadata(request.headers);
     const timeLeftMs = arrivedAtMs + callerTimeoutMs - readClock();
     const waitMs = computeRetryWaitMs(retryAfterMs, {
--- a/src/engine/relay/node/caller_server.ts
+++ b/src/engine/relay/node/caller_server.ts
@@ -25,7 +25,7 @@
 import { readBody } from "./body_reader.ts";
 import { CallerConnection } from "./caller_connection.ts";
 import type { Exchange } from "./caller_connection.ts";
-import { CallerReplies, DEFAULT_WAIT_LIMIT_MS } from "./caller_replies.ts";
+import { CallerReplies, DEFAULT_CALLER_TIMEOUT_MS } from "./caller_replies.ts";
 
 /** Starts a call to a service; the function returned withdraws it. */
 export type StartCall = (
@@ -56,7 +56,7 @@
   /** Returns the service whose backend server runs on this VM. */
   readonly getCallerService: () => string;
   /** Called when a connection was accepted; more may be in the accept queue. */
-  readonly onConnection: () => void;
+  readonly recordConnection: () => void;
   readonly firstRequests: FirstRequestQueue;
   /** Steady clock, in milliseconds. */
   readonly readClock: () => number;
@@ -74,7 +74,7 @@
  * read; requests beyond it are refused. The gate has a limit of the same size;
  * each is a seventh of the 350 MB of a process.
  */
-const MAX_HELD_BYTES = 50_331_648;
+const MAX_BUFFERED_BYTES = 50_331_648;
 /**
  * Limit of Node's parser, above that of any route table: the limit of the table
  * in force is checked for each request.
@@ -104,7 +104,7 @@
   readonly #routes = new RoutesInForce();
   #isDraining = false;
   #openCount = 0;
-  readonly #heldBytes = new BufferedBytes(MAX_HELD_BYTES);
+  readonly #bufferedBytes = new BufferedBytes(MAX_BUFFERED_BYTES);
   readonly #routeWaiters = new RouteWaiters<Exchange>();
   /** Requests that wait for a proof of their key, or for their rate limit. */
   readonly #proofWaiters = new RouteWaiters<Exchange>();
@@ -121,7 +121,7 @@
       { maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0 },
       (request, response) => this.#acceptRequest(request, response),
     );
-    this.#server.on("connection", options.onConnection);
+    this.#server.on("connection", options.recordConnection);
     this.#server.on(
       "clientError",
       (_error, socket) => this.#rejectMalformed(socket),
@@ -252,7 +252,8 @@
     reason: string,
   ): void {
     const { request, arrivedAtMs } = exchange;
-    const { timeoutMs: callerTimeoutMs = DEFAULT_WAIT_LIMIT_MS } = this.#options
+    const { timeoutMs: callerTimeoutMs = DEFAULT_CALLER_TIMEOUT_MS } = this
+      .#options
       .dialect
       .readRequestMetadata(request.headers);
     if (!waiters.add(exchange, { arrivedAtMs, callerTimeoutMs })) {
@@ -386,7 +387,7 @@
   }
 
   async #readBody(exchange: Exchange): Promise<Uint8Array | undefined> {
-    const reservation = this.#heldBytes.open();
+    const reservation = this.#bufferedBytes.open();
     exchange.cleanUps.push(reservation.release);
     const result = await readBody(exchange.request, {
       maxBytes: this.#routes.limits!.maxBodyBytes,
@@ -413,9 +414,11 @@
   ): void {
     const { request, arrivedAtMs } = exchange;
     const { dialect, getCallerService, readClock, startCall } = this.#options;
-    const { requestId, timeoutMs: callerTimeoutMs = DEFAULT_WAIT_LIMIT_MS } =
-      dialect
-        .readRequestMetadata(request.headers);
+    const {
+      requestId,
+      timeoutMs: callerTimeoutMs = DEFAULT_CALLER_TIMEOUT_MS,
+    } = dialect
+      .readRequestMetadata(request.headers);
     if (requestId === undefined) {
       this.#replies.reply(exchange, 400);
       return;
--- a/src/engine/relay/node/gate_calls.ts
+++ b/src/engine/relay/node/gate_calls.ts
@@ -97,8 +97,8 @@
   }
 
   /** Whether calls of a link are in progress. */
-  hasCalls(source: string): boolean {
-    return this.#calls.hasCallsOfLink(source);
+  hasCalls(linkId: string): boolean {
+    return this.#calls.hasCallsOfLink(linkId);
   }
 
   /**
@@ -131,16 +131,16 @@
    * Receives the frames of one message from a caller. `delayMs` is how much
    * longer than usual the message was in transit. No call is handed over before
    * all frames are read: if a process lagged, a call and its cancellation come
-   * in the same message. `source` identifies the link.
+   * in the same message. `linkId` identifies the link.
    */
   receiveAll(
-    source: string,
+    linkId: string,
     frames: readonly MeshFrame[],
     link: { readonly send: SendFrame; readonly delayMs?: number },
   ): void {
     this.#isReadingMessage = true;
     frames.forEach((frame) =>
-      this.receive(source, frame, link.send, link.delayMs)
+      this.receive(linkId, frame, link.send, link.delayMs)
     );
     this.#isReadingMessage = false;
     this.#callsToAdmit.splice(0)
@@ -150,17 +150,17 @@
 
   /** Receives one frame of a link; it was `delayMs` longer in transit than usual. */
   receive(
-    source: string,
+    linkId: string,
     frame: MeshFrame,
     send: SendFrame,
     delayMs = 0,
   ): void {
     switch (frame.type) {
       case "CallOpened":
-        this.#openCall({ source, opened: frame, send, delayMs });
+        this.#openCall({ linkId, opened: frame, send, delayMs });
         return;
       case "BodyPart": {
-        const call = this.#calls.findByLink(source, frame.call);
+        const call = this.#calls.findByLink(linkId, frame.call);
         call?.body.add(frame.bytes);
         if (call?.phase === "receiving" && call.body.isComplete) {
           this.#admitAfterMessage(call);
@@ -168,14 +168,14 @@
         return;
       }
       case "CallCancelled": {
-        const call = this.#calls.findByLink(source, frame.call);
+        const call = this.#calls.findByLink(linkId, frame.call);
         if (call !== undefined) {
           this.#cancel(call, "caller left");
         }
         return;
       }
       case "CallerIntroduced":
-        this.#callerServices.set(source, frame.service);
+        this.#callerServices.set(linkId, frame.service);
         return;
       case "AnswerOpened":
       case "CallFailed":
@@ -185,12 +185,12 @@
   }
 
   /** Cancels the calls of a lost link: nobody waits for their answers. */
-  handleLinkLoss(source: string): void {
-    for (const call of this.#calls.listByLink(source)) {
+  handleLinkLoss(linkId: string): void {
+    for (const call of this.#calls.listByLink(linkId)) {
       this.#cancel(call, "link lost");
     }
-    this.#calls.removeLink(source);
-    this.#callerServices.delete(source);
+    this.#calls.removeLink(linkId);
+    this.#callerServices.delete(linkId);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -228,12 +228,12 @@
   }
 
   #openCall(arrival: {
-    readonly source: string;
+    readonly linkId: string;
     readonly opened: CallOpened;
     readonly send: SendFrame;
     readonly delayMs: number;
   }): void {
-    const { source, opened, send, delayMs } = arrival;
+    const { linkId, opened, send, delayMs } = arrival;
     const arrivedAtMs = this.#options.readClock() - delayMs;
     const call: GateCallState = {
       id: this.#nextId++,
@@ -243,13 +243,13 @@
       arrivedAtMs,
       transitDelayMs: delayMs,
       send,
-      linkId: source,
+      linkId,
       phase: "receiving",
       startedAtMs: 0,
       exchange: undefined,
     };
     this.#calls.add(call);
-    const callerService = this.#callerServices.get(source);
+    const callerService = this.#callerServices.get(linkId);
     if (callerService !== undefined) {
       this.#options.recordArrival(opened.route, callerService);
     }
--- a/src/engine/relay/test/caller_server_test.ts
+++ b/src/engine/relay/test/caller_server_test.ts
@@ -129,7 +129,7 @@
       workspaces: this.workspaces,
       requestProof: () => {},
       observeCall: () => ({ isNested: this.isNested, repeatShare: 0 }),
-      onConnection: () => {},
+      recordConnection: () => {},
       firstRequests: {
         queuedMs: 0,
         hold: (run) => this.isHolding ? this.held.push(run) : run(),
