--- a/src/engine/call/common/entry_ask.ts
+++ b/src/engine/call/common/entry_ask.ts
@@ -129,7 +129,7 @@
   const { attempt } = call;
   return attempt !== undefined && !attempt.isAsked &&
     attempt.nodeId !== state.self.nodeId &&
-    nowMs - attempt.lastConfirmedAtMs >= ratio * computeStatusDelayMs(call);
+    nowMs - attempt.heardAtMs >= ratio * computeStatusDelayMs(call);
 }
 
 /** Identifies a receiving process by its address and incarnation. */
--- a/src/engine/call/common/entry_attempts.ts
+++ b/src/engine/call/common/entry_attempts.ts
@@ -273,7 +273,7 @@
     address: ingress,
     startedAtMs: nowMs,
     tokens: share,
-    lastConfirmedAtMs: nowMs,
+    heardAtMs: nowMs,
     isAsked: false,
     isBroken: false,
     misses: 0,
--- a/src/engine/call/common/entry_reply.ts
+++ b/src/engine/call/common/entry_reply.ts
@@ -154,7 +154,7 @@
   if (status === "lives") {
     const confirmed: Attempt = {
       ...checked,
-      lastConfirmedAtMs: nowMs,
+      heardAtMs: nowMs,
       misses: 0,
     };
     return createReduction(replaceAttempt(state, call, confirmed));
@@ -164,10 +164,10 @@
     misses >= MAX_MISSED_STATUSES;
   if (!isAbandoned) {
     // An answer may be in transit: the status is due again after a grace time.
-    const lastConfirmedAtMs = nowMs - computeStatusDelayMs(call) +
+    const heardAtMs = nowMs - computeStatusDelayMs(call) +
       ANSWER_GRACE_MS;
     return createReduction(
-      replaceAttempt(state, call, { ...checked, lastConfirmedAtMs, misses }),
+      replaceAttempt(state, call, { ...checked, heardAtMs, misses }),
     );
   }
   const isNotRun = status === "not-run";
--- a/src/engine/call/common/node_state.ts
+++ b/src/engine/call/common/node_state.ts
@@ -44,7 +44,7 @@
    * When it was last known to be in progress, because it was sent or its
    * receiver confirmed it; wall clock in milliseconds.
    */
-  readonly lastConfirmedAtMs: number;
+  readonly heardAtMs: number;
   /** Whether a status request for it is pending. */
   readonly isAsked: boolean;
   /** Whether its connection failed after a byte was sent. */
