--- a/src/engine/consensus/common/commit.ts
+++ b/src/engine/consensus/common/commit.ts
@@ -17,7 +17,9 @@
 import { lookupTerm, selectEntries } from "./replicated_log.ts";
 import { startFollowing } from "./term.ts";
 
-/** Commits, as leader, what a quorum has synced. */
+/**
+ * Commits, as leader, the entries that a quorum of voters has synced to disk.
+ */
 export function advanceCommit(
   context: StepContext,
   state: ConsensusState,
@@ -32,7 +34,7 @@
   return mayCommit ? commitUpTo(context, state, index) : createReduction(state);
 }
 
-/** Commits and applies the entries up to `index`. */
+/** Commits and applies the entries up to and including `index`. */
 export function commitUpTo(
   context: StepContext,
   state: ConsensusState,
@@ -45,9 +47,9 @@
   const applied = appendEffects(
     createReduction<ConsensusState, ConsensusEffect>(
       { ...state, commitIndex: index },
-      [createApply(entries, index)],
+      [createApplyEffect(entries, index)],
     ),
-    ...listConfigurations(entries),
+    ...listConfigurationEffects(entries),
   );
   const settled = chainReduction(
     chainReduction(applied, settleProposals),
@@ -58,7 +60,7 @@
       chainReduction(settled, settleForwardedReads),
       requestSnapshot,
     ),
-    (s) => stopWhereRemoved(context, s),
+    (s) => stepDownIfRemoved(context, s),
   );
 }
 
@@ -80,7 +82,7 @@
   return matches[Math.floor(state.configuration.voters.length / 2)] ?? 0;
 }
 
-function createApply(
+function createApplyEffect(
   entries: readonly LogEntry[],
   lastIndex: number,
 ): ConsensusEffect {
@@ -94,11 +96,11 @@
   return { type: "ApplyEntries", lastIndex, commands };
 }
 
-function listConfigurations(
+function listConfigurationEffects(
   entries: readonly LogEntry[],
 ): readonly ConsensusEffect[] {
-  const found = entries.filter(isConfigurationEntry);
-  return found.flatMap((entry): readonly ConsensusEffect[] => {
+  const configurationEntries = entries.filter(isConfigurationEntry);
+  return configurationEntries.flatMap((entry): readonly ConsensusEffect[] => {
     const content = decodeEntry(entry);
     return content.type === "Configuration"
       ? [{
@@ -131,17 +133,25 @@
 }
 
 function requestSnapshot(state: ConsensusState): ConsensusStep {
-  const { commitIndex, snapshot, snapshotAskedIndex, options } = state;
-  const since = Math.max(snapshot?.lastIndex ?? 0, snapshotAskedIndex);
-  if (commitIndex - since < options.snapshotEveryEntries) {
+  const {
+    commitIndex,
+    snapshot,
+    requestedSnapshotIndex,
+    options,
+  } = state;
+  const lastSnapshotIndex = Math.max(
+    snapshot?.lastIndex ?? 0,
+    requestedSnapshotIndex,
+  );
+  if (commitIndex - lastSnapshotIndex < options.snapshotEveryEntries) {
     return createReduction(state);
   }
-  return createReduction({ ...state, snapshotAskedIndex: commitIndex }, [
+  return createReduction({ ...state, requestedSnapshotIndex: commitIndex }, [
     { type: "TakeSnapshot", lastIndex: commitIndex },
   ]);
 }
 
-function stopWhereRemoved(
+function stepDownIfRemoved(
   context: StepContext,
   state: ConsensusState,
 ): ConsensusStep {
--- a/src/engine/consensus/common/compaction.ts
+++ b/src/engine/consensus/common/compaction.ts
@@ -1,4 +1,4 @@
-/** Replaces the start of the log by a snapshot of the state machine. */
+/** Log compaction: replaces the head of the log by a snapshot. */
 import {
   chainReduction,
   createReduction,
@@ -8,13 +8,16 @@
 import { writeSnapshot } from "./persistence.ts";
 import { lookupTerm, truncateHead } from "./replicated_log.ts";
 
-/** The state machine, encoded as of the applied entry `lastIndex`. */
+/** The state machine, encoded after it applied the entry `lastIndex`. */
 export interface EncodedState {
   readonly lastIndex: number;
   readonly payload: Uint8Array;
 }
 
-/** Keeps a snapshot and drops the log before it, but for a few entries. */
+/**
+ * Stores a snapshot and drops the log before it, except for the trailing
+ * entries. Ignores a snapshot that is stale or not yet committed.
+ */
 export function acceptSnapshot(
   state: ConsensusState,
   encoded: EncodedState,
--- a/src/engine/consensus/common/configuration.ts
+++ b/src/engine/consensus/common/configuration.ts
@@ -1,9 +1,11 @@
-/** The configuration that a log implies: its newest, committed or not. */
+/**
+ * Finds the configuration in force: the newest in the log, committed or not.
+ */
 import type { ConsensusState, ReplicatedLog } from "./consensus_types.ts";
 import { decodeEntry, isConfigurationEntry } from "./entry_payload.ts";
 import type { Configuration, LogEntry, Snapshot } from "./log_types.ts";
 
-/** A configuration and the index of its entry. */
+/** A configuration and the log index of its entry. */
 export interface IndexedConfiguration {
   readonly configuration: Configuration;
   readonly configurationIndex: number;
@@ -11,7 +13,7 @@
 
 const NO_CONFIGURATION: Configuration = { voters: [], learners: [] };
 
-/** Finds the newest configuration of a log and the snapshot before it. */
+/** Finds the newest configuration in a log or, failing that, its snapshot. */
 export function findConfiguration(
   log: ReplicatedLog,
   snapshot: Snapshot | undefined,
@@ -19,7 +21,7 @@
   const entry = log.entries.findLast(isConfigurationEntry);
   const snapshotIndex = snapshot?.lastIndex ?? 0;
   if (entry !== undefined && entry.index > snapshotIndex) {
-    return readEntry(entry);
+    return decodeConfiguration(entry);
   }
   return {
     configuration: snapshot?.configuration ?? NO_CONFIGURATION,
@@ -37,7 +39,7 @@
   return findConfiguration({ ...log, entries }, snapshot).configuration;
 }
 
-/** Takes up what changed in the log from `from` on. */
+/** Updates the configuration after a change to the log from index `from` on. */
 export function updateConfiguration(
   state: ConsensusState,
   from: number,
@@ -50,7 +52,7 @@
     : state;
 }
 
-function readEntry(entry: LogEntry): IndexedConfiguration {
+function decodeConfiguration(entry: LogEntry): IndexedConfiguration {
   const content = decodeEntry(entry);
   const configuration = content.type === "Configuration"
     ? content.configuration
--- a/src/engine/consensus/common/configuration_change.ts
+++ b/src/engine/consensus/common/configuration_change.ts
@@ -1,4 +1,4 @@
-/** Changes the replica set, one replica at a time (thesis, 4.1 to 4.2). */
+/** Membership changes, one replica at a time (Ongaro 2014, 4.1 to 4.2). */
 import {
   chainReduction,
   createReduction,
@@ -21,13 +21,13 @@
 import { listPeers } from "./quorum.ts";
 import { locateLogEnd } from "./replicated_log.ts";
 
-/** A change that was asked for. */
+/** A requested membership change. */
 export interface ChangeRequest {
   readonly requestId: string;
   readonly change: ConfigurationChange;
 }
 
-/** Appends a change as leader; it is in force once appended. */
+/** Appends a change as leader; it takes effect once appended, not committed. */
 export function startChange(
   context: StepContext,
   state: ConsensusState,
@@ -41,9 +41,9 @@
   }
   const next = applyChange(state.configuration, change);
   const index = locateLogEnd(state.log).lastIndex + 1;
-  const noted = addProposal(state, { requestId, index });
+  const recorded = addProposal(state, { requestId, index });
   const changed = updatePeers(context, {
-    ...noted,
+    ...recorded,
     configuration: next,
     configurationIndex: index,
   });
@@ -67,7 +67,7 @@
   if (!context.rules.canChangeConfiguration(isEarlierCommitted)) {
     return { type: "ChangePending" };
   }
-  if (!isValid(state.configuration, change)) {
+  if (!isValidChange(state.configuration, change)) {
     return { type: "InvalidChange" };
   }
   const { replicaId } = change;
@@ -78,7 +78,7 @@
     : undefined;
 }
 
-function isValid(
+function isValidChange(
   configuration: Configuration,
   change: ConfigurationChange,
 ): boolean {
--- a/src/engine/consensus/common/consensus_events.ts
+++ b/src/engine/consensus/common/consensus_events.ts
@@ -1,4 +1,4 @@
-/** What happens to a replica, and what it does about it. */
+/** Events that a replica receives, and effects that it emits. */
 import type { ConsensusMessage } from "./consensus_messages.ts";
 import type {
   Configuration,
@@ -7,33 +7,33 @@
   Snapshot,
 } from "./log_types.ts";
 
-/** A membership change; each moves one replica by one step. */
+/** A membership change of one replica. */
 export type ConfigurationChange =
-  /** A new replica begins to listen; it counts for nothing. */
+  /** Adds a replica that receives the log but does not vote. */
   | { readonly type: "AddLearner"; readonly replicaId: string }
-  /** A learner that has caught up begins to count. */
+  /** Makes a learner that has caught up a voter. */
   | { readonly type: "PromoteLearner"; readonly replicaId: string }
-  /** A voter or learner leaves. */
+  /** Removes a voter or learner. */
   | { readonly type: "RemoveReplica"; readonly replicaId: string };
 
-/** What happens to a replica. */
+/** An input event of a replica. */
 export type ConsensusEvent =
   | {
     readonly type: "MessageReceived";
     readonly from: string;
     readonly message: ConsensusMessage;
   }
-  /** Time passed; comes several times per heartbeat interval. */
+  /** Time has passed; sent several times per heartbeat interval. */
   | { readonly type: "Ticked" }
-  /** A `requestId` is unique at its replica, over restarts too. */
+  /** A `requestId` is unique at its replica, also across restarts. */
   | {
     readonly type: "PayloadProposed";
     readonly requestId: string;
     readonly payload: Uint8Array;
   }
-  /** This and every earlier persist effect is synced. */
+  /** This and every earlier persist effect has been synced. */
   | { readonly type: "PersistCompleted"; readonly persistId: number }
-  /** The state machine was encoded as of the applied entry `lastIndex`. */
+  /** The state machine was encoded after it applied the entry `lastIndex`. */
   | {
     readonly type: "SnapshotTaken";
     readonly lastIndex: number;
@@ -45,7 +45,9 @@
     readonly requestId: string;
     readonly change: ConfigurationChange;
   }
-  /** A planned stop; the leader picks the voter where none is named. */
+  /**
+   * Requested before a planned stop; the leader selects the voter if undefined.
+   */
   | {
     readonly type: "LeadershipTransferRequested";
     readonly targetId: string | undefined;
@@ -53,24 +55,31 @@
 
 /** Why a proposal or a read failed. */
 export type ConsensusFailure =
-  /** Not appended; `leaderId` is a hint. */
+  /** Not appended; `leaderId` is a hint, undefined if unknown. */
   | { readonly type: "NotLeader"; readonly leaderId: string | undefined }
-  /** Appended, then leadership was lost: it may yet be committed. */
+  /**
+   * Appended, then leadership was lost: the proposal may still be committed.
+   */
   | { readonly type: "OutcomeUnknown" }
-  /** Not appended: too many proposals wait, or the payload is too large. */
+  /**
+   * Not appended: too many pending proposals or reads, or payload too large.
+   */
   | { readonly type: "Overloaded" }
-  /** Not appended: leadership is being handed over. */
+  /** Not appended: a leadership transfer is in progress. */
   | { readonly type: "Transferring" }
-  /** Not appended: an earlier change isn't committed, or the term is new. */
+  /**
+   * Not appended: an earlier change, or the first entry of the term, is
+   * uncommitted.
+   */
   | { readonly type: "ChangePending" }
-  /** Not appended: the learner to be promoted has not caught up. */
+  /** Not appended: the learner to promote has not caught up. */
   | { readonly type: "NotCaughtUp" }
-  /** Not appended: the change doesn't fit the configuration. */
+  /** Not appended: the change does not apply to the configuration. */
   | { readonly type: "InvalidChange" }
-  /** A read that no quorum confirmed in time. */
+  /** The read was not confirmed by a quorum within `readTimeoutMs`. */
   | { readonly type: "TimedOut" };
 
-/** A committed command, for the state machine. */
+/** A committed command to be applied to the state machine. */
 export interface CommittedCommand {
   readonly index: number;
   readonly term: number;
@@ -78,7 +87,7 @@
   readonly payload: Uint8Array;
 }
 
-/** What a replica does. Effects are carried out in order. */
+/** An effect of a replica. Effects are performed in order. */
 export type ConsensusEffect =
   | {
     readonly type: "SendMessage";
@@ -86,22 +95,25 @@
     readonly message: ConsensusMessage;
   }
   /**
-   * Truncates, appends and writes the hard state, in that order, and syncs;
-   * then PersistCompleted. Persist effects are carried out in order.
+   * Truncates, appends and writes the hard state, in that order, and syncs.
+   * Answered by PersistCompleted. Persist effects are performed in order.
    */
   | {
     readonly type: "PersistLog";
     readonly persistId: number;
-    /** Undefined where unchanged. */
+    /** Undefined if unchanged. */
     readonly hardState: HardState | undefined;
-    /** Drops the entries from this index on before appending. */
+    /**
+     * Entries from this index on are removed before appending; undefined for
+     * none.
+     */
     readonly truncateFrom: number | undefined;
     readonly entries: readonly LogEntry[];
   }
   /**
-   * Replaces the snapshot and drops the log up to its last index; then
-   * PersistCompleted. With `discardsLog` the entries after it go too, as one
-   * atomic step with the snapshot: no crash may leave them behind it.
+   * Replaces the snapshot and drops the log up to its last index. Answered by
+   * PersistCompleted. With `discardsLog`, the entries after it are dropped too,
+   * atomically with the snapshot: no crash may leave them after it.
    */
   | {
     readonly type: "PersistSnapshot";
@@ -110,19 +122,19 @@
     readonly discardsLog: boolean;
   }
   /**
-   * Applies committed commands, in order. `lastIndex` is the index reached;
-   * it counts entries without a command too.
+   * Applies committed commands, in order. `lastIndex` is the last index
+   * applied, including entries without a command.
    */
   | {
     readonly type: "ApplyEntries";
     readonly lastIndex: number;
     readonly commands: readonly CommittedCommand[];
   }
-  /** Replaces the state machine by the snapshot's. */
+  /** Replaces the state machine by that of the snapshot. */
   | { readonly type: "InstallSnapshot"; readonly snapshot: Snapshot }
-  /** Encodes the state machine as applied now; then SnapshotTaken. */
+  /** Encodes the current state machine. Answered by SnapshotTaken. */
   | { readonly type: "TakeSnapshot"; readonly lastIndex: number }
-  /** Comes after the ApplyEntries that holds the command. */
+  /** Emitted after the ApplyEntries that contains the command. */
   | {
     readonly type: "ProposalCommitted";
     readonly requestId: string;
@@ -133,7 +145,7 @@
     readonly requestId: string;
     readonly failure: ConsensusFailure;
   }
-  /** The state machine as applied now may answer the read. */
+  /** The read may be answered from the current state machine. */
   | {
     readonly type: "ReadReady";
     readonly requestId: string;
@@ -147,7 +159,7 @@
   | {
     readonly type: "LeaderChanged";
     readonly term: number;
-    /** Undefined for none known. */
+    /** Undefined if no leader is known. */
     readonly leaderId: string | undefined;
   }
   | {
@@ -155,13 +167,15 @@
     readonly index: number;
     readonly configuration: Configuration;
   }
-  /** Said by the leader: nothing was heard from the replica for a while. */
+  /**
+   * Emitted by the leader: the replica has not answered for `silentAfterMs`.
+   */
   | {
     readonly type: "ReplicaSilent";
     readonly replicaId: string;
     readonly silentForMs: number;
   }
-  /** Said by the leader: a silent replica is heard again. */
+  /** Emitted by the leader: a silent replica has answered again. */
   | { readonly type: "ReplicaHeard"; readonly replicaId: string }
-  /** Leadership wasn't handed over in time; the leader serves on. */
+  /** The leadership transfer timed out; the leader continues. */
   | { readonly type: "TransferExpired"; readonly targetId: string };
--- a/src/engine/consensus/common/consensus_messages.ts
+++ b/src/engine/consensus/common/consensus_messages.ts
@@ -1,7 +1,7 @@
-/** What replicas of one replica set say to each other (Raft; Ongaro 2014). */
+/** Messages between the replicas of one replica set (Raft; Ongaro 2014). */
 import type { Configuration, LogEntry } from "./log_types.ts";
 
-/** A message; `term` is the sender's, but for the proposed one of a pre-vote. */
+/** A message; `term` is the sender's, except in a PreVoteRequest. */
 export type ConsensusMessage =
   | PreVoteRequest
   | PreVoteResponse
@@ -15,20 +15,23 @@
   | ReadIndexRequest
   | ReadIndexResponse;
 
-/** Asks whether an election could be won, before the term is raised. */
+/**
+ * Asks whether the receiver would vote for the sender, without raising the
+ * term.
+ */
 export interface PreVoteRequest {
   readonly type: "PreVoteRequest";
-  /** The term that the sender would campaign in. */
+  /** The term in which the sender would be a candidate. */
   readonly term: number;
   readonly lastIndex: number;
   readonly lastTerm: number;
 }
 
-/** Answers a pre-vote; promises nothing. */
+/** Answers a pre-vote request; does not bind the sender. */
 export interface PreVoteResponse {
   readonly type: "PreVoteResponse";
   readonly term: number;
-  /** The term that was asked about. */
+  /** `term` of the request. */
   readonly proposedTerm: number;
   readonly isGranted: boolean;
 }
@@ -39,22 +42,24 @@
   readonly term: number;
   readonly lastIndex: number;
   readonly lastTerm: number;
-  /** Ordered by the leader itself, so that its stickiness doesn't count. */
+  /**
+   * Whether the leader ordered the election: leader stickiness does not apply.
+   */
   readonly isTransfer: boolean;
 }
 
-/** Answers a vote request; leaves only once the vote is synced. */
+/** Answers a vote request; sent only once the vote is synced. */
 export interface VoteResponse {
   readonly type: "VoteResponse";
   readonly term: number;
   readonly isGranted: boolean;
 }
 
-/** Entries after `previousIndex`; a heartbeat where there are none. */
+/** Entries after `previousIndex`; a heartbeat if there are none. */
 export interface AppendRequest {
   readonly type: "AppendRequest";
   readonly term: number;
-  /** Heartbeat round, counted up by the leader and echoed in the answer. */
+  /** Heartbeat round; incremented by the leader and echoed in the answer. */
   readonly round: number;
   readonly previousIndex: number;
   readonly previousTerm: number;
@@ -62,21 +67,23 @@
   readonly commitIndex: number;
 }
 
-/** Answers an append; an accepted one leaves only once the log is synced. */
+/** Answers an append request; sent only once earlier writes are synced. */
 export interface AppendResponse {
   readonly type: "AppendResponse";
   readonly term: number;
   readonly round: number;
   readonly isAccepted: boolean;
-  /** Where accepted: the log equals the leader's up to here. */
+  /** If accepted: last index up to which the log matches the leader's. */
   readonly matchIndex: number;
-  /** Where refused: first index of the term that conflicts, or log end + 1. */
+  /** If refused: first index of the conflicting term, or last index + 1. */
   readonly conflictIndex: number;
-  /** Where refused: the term that conflicts; undefined for a log too short. */
+  /** If refused: the conflicting term; undefined if the log is too short. */
   readonly conflictTerm: number | undefined;
 }
 
-/** A piece of a snapshot, for a replica that the log no longer reaches. */
+/**
+ * A chunk of a snapshot, for a replica that lacks entries no longer in the log.
+ */
 export interface SnapshotChunk {
   readonly type: "SnapshotChunk";
   readonly term: number;
@@ -89,7 +96,7 @@
   readonly payload: Uint8Array;
 }
 
-/** Names the next piece wanted of the snapshot that ends at `lastIndex`. */
+/** Requests the next chunk of the snapshot that ends at `lastIndex`. */
 export interface SnapshotChunkResponse {
   readonly type: "SnapshotChunkResponse";
   readonly term: number;
@@ -98,7 +105,9 @@
   readonly nextOffsetBytes: number;
 }
 
-/** Tells a voter to campaign at once: the leader hands leadership over. */
+/**
+ * Orders a voter to start an election at once, to transfer leadership to it.
+ */
 export interface ElectionOrder {
   readonly type: "ElectionOrder";
   readonly term: number;
@@ -111,11 +120,11 @@
   readonly requestId: string;
 }
 
-/** Answers a read request, after the leader confirmed its leadership. */
+/** Answers a read request, once the leader has confirmed its leadership. */
 export interface ReadIndexResponse {
   readonly type: "ReadIndexResponse";
   readonly term: number;
   readonly requestId: string;
-  /** Undefined where the leader couldn't confirm it. */
+  /** Undefined if the leader could not confirm its leadership. */
   readonly readIndex: number | undefined;
 }
--- a/src/engine/consensus/common/consensus_options.ts
+++ b/src/engine/consensus/common/consensus_options.ts
@@ -1,7 +1,9 @@
-/** The times and bounds that a replica set starts with. */
+/** Default timeouts and limits of a replica set. */
 import type { ConsensusOptions } from "./consensus_types.ts";
 
-/** For a few milliseconds of latency between data centres, and small edits. */
+/**
+ * Suits a few milliseconds of latency between data centres, and small writes.
+ */
 export const DEFAULT_CONSENSUS_OPTIONS: ConsensusOptions = {
   heartbeatMs: 100,
   readGatherMs: 50,
--- a/src/engine/consensus/common/consensus_receiver.ts
+++ b/src/engine/consensus/common/consensus_receiver.ts
@@ -1,4 +1,4 @@
-/** Hands each message to the part of the algorithm that it belongs to. */
+/** Dispatches received messages by type. */
 import {
   chainReduction,
   createReduction,
@@ -24,18 +24,18 @@
 import { acceptAppend } from "./log_acceptance.ts";
 import { isVoter } from "./quorum.ts";
 import { receiveReadIndex, settleReads, startRead } from "./read_index.ts";
-import { noteContact } from "./replica_contact.ts";
+import { recordContact } from "./replica_contact.ts";
 import { receiveAppendResponse } from "./replication.ts";
 import { acceptChunk, receiveChunkResponse } from "./snapshot_transfer.ts";
 import { startFollowing } from "./term.ts";
 
-/** A message and who sent it. */
+/** A message and its sender. */
 export interface ReceivedMessage {
   readonly from: string;
   readonly message: ConsensusMessage;
 }
 
-/** Receives a message of another replica, or the replica's own vote. */
+/** Handles a message from another replica, or this replica's own vote. */
 export function receiveMessage(
   context: StepContext,
   state: ConsensusState,
@@ -88,9 +88,9 @@
   if (term < state.term || state.role.type !== "Leader") {
     return createReduction(state);
   }
-  const noted = noteContact(context, state, { from, round });
+  const recorded = recordContact(context, state, { from, round });
   const matched = chainReduction(
-    noted,
+    recorded,
     (s) =>
       message.type === "AppendResponse"
         ? receiveAppendResponse(context, s, { from, message })
--- a/src/engine/consensus/common/consensus_reducer.ts
+++ b/src/engine/consensus/common/consensus_reducer.ts
@@ -1,4 +1,4 @@
-/** The one reducer of a replica: Raft (Ongaro & Ousterhout, 2014). */
+/** The reducer of a replica: Raft (Ongaro & Ousterhout, 2014). */
 import {
   chainReduction,
   createReduction,
@@ -28,14 +28,16 @@
 import { checkQuorumContact, reportSilence } from "./replica_contact.ts";
 import { sendHeartbeats } from "./replication.ts";
 
-/** A function that steps a replica; `nowMs` is a clock that may jump. */
+/**
+ * Steps a replica; `nowMs` is read from a clock that may jump back or forth.
+ */
 export type ConsensusReducer = (
   state: ConsensusState,
   event: ConsensusEvent,
   nowMs: number,
 ) => ConsensusStep;
 
-/** Builds the reducer that keeps to `rules`. */
+/** Builds a reducer that follows `rules`. */
 export function buildConsensusReducer(rules: ConsensusRules): ConsensusReducer {
   return (state, event, nowMs) => {
     const timed = advanceClock(state, nowMs);
@@ -47,7 +49,7 @@
   };
 }
 
-/** Steps a replica by the published rules; `nowMs` is a clock that may jump. */
+/** Steps a replica by the published rules of Raft. */
 export const reduceConsensus: ConsensusReducer = buildConsensusReducer(
   RAFT_RULES,
 );
@@ -75,7 +77,7 @@
     case "PayloadProposed":
       return startProposal(context, state, event);
     case "PersistCompleted":
-      return releaseSynced(context, state, event.persistId);
+      return releaseDeferredMessages(context, state, event.persistId);
     case "SnapshotTaken":
       return acceptSnapshot(state, event);
     case "ReadRequested":
@@ -113,7 +115,7 @@
 ): ConsensusStep {
   const { role, options } = state;
   const isDue = role.type === "Leader" &&
-    context.nowMs - role.heartbeatAtMs >= options.heartbeatMs;
+    context.nowMs - role.lastHeartbeatAtMs >= options.heartbeatMs;
   return isDue
     ? sendHeartbeats(context, state)
     : startReadRound(context, state);
@@ -128,7 +130,7 @@
     : createReduction(state);
 }
 
-function releaseSynced(
+function releaseDeferredMessages(
   context: StepContext,
   state: ConsensusState,
   persistId: number,
--- a/src/engine/consensus/common/consensus_rules.ts
+++ b/src/engine/consensus/common/consensus_rules.ts
@@ -1,4 +1,4 @@
-/** The safety rules of Raft, each a function, so that tests can swap one. */
+/** The safety rules of Raft, each a function, so that tests can replace one. */
 import type { Configuration, HardState } from "./log_types.ts";
 
 /** The position of a log's last entry. */
@@ -7,44 +7,50 @@
   readonly lastTerm: number;
 }
 
-/** What a quorum is counted from. */
+/** The voters in favour, out of all voters. */
 export interface QuorumCount {
   readonly votersFor: number;
   readonly voters: number;
 }
 
-/** The rules that safety rests on. */
+/** The rules that safety depends on. */
 export interface ConsensusRules {
-  /** One vote per term. */
+  /** Whether a vote may be granted: at most one candidate per term. */
   canVote(votedFor: string | undefined, candidateId: string): boolean;
-  /** A vote only for a log at least as complete (Raft, 5.4.1). */
+  /** Whether the candidate's log is at least as complete (Raft, 5.4.1). */
   isUpToDate(candidate: LogEnd, own: LogEnd): boolean;
-  /** Counting replicas commits only entries of the own term (5.4.2). */
+  /**
+   * Whether a quorum of copies commits an entry: only one of this term (5.4.2).
+   */
   canCommitByCount(entryTerm: number, term: number): boolean;
-  /** Answers wait for the disk. */
+  /** Whether answers wait until earlier writes are synced. */
   isPersistAwaited(): boolean;
-  /** Entries are taken only after an equal predecessor (5.3). */
+  /** Whether the entry before the appended ones matches in term (5.3). */
   isPredecessorEqual(ownTerm: number | undefined, term: number): boolean;
-  /** A read is answered only once a quorum confirmed the leader. */
+  /**
+   * Whether a quorum has confirmed the leader, so that a read may be answered.
+   */
   isReadConfirmed(count: QuorumCount): boolean;
-  /** One configuration change at a time (thesis, 4.1). */
+  /** Whether a change may start: one at a time (Ongaro 2014, 4.1). */
   canChangeConfiguration(isEarlierCommitted: boolean): boolean;
-  /** Only voters count. */
+  /** Whether a replica counts toward a quorum: only voters do. */
   isCounted(configuration: Configuration, replicaId: string): boolean;
-  /** Term and vote are synced. */
+  /** Selects the term and vote to write to disk; undefined writes nothing. */
   selectHardState(hardState: HardState): HardState | undefined;
-  /** A learner has what is committed before it counts. */
+  /**
+   * Whether a learner has all committed entries, so that it may become a voter.
+   */
   isCaughtUp(matchIndex: number, commitIndex: number): boolean;
-  /** Reads wait until an entry of the own term is committed (thesis, 6.4). */
+  /** Whether reads may start: once an entry of this term is committed (6.4). */
   canReadAt(commitIndex: number, firstIndex: number): boolean;
 }
 
-/** Tells whether the count is a majority of the voters. */
+/** Returns whether the count is a majority of the voters. */
 export function isQuorum(count: QuorumCount): boolean {
   return count.votersFor * 2 > count.voters;
 }
 
-/** The rules as published. */
+/** The rules as published (Ongaro 2014). */
 export const RAFT_RULES: ConsensusRules = {
   canVote: (votedFor, candidateId) =>
     votedFor === undefined || votedFor === candidateId,
--- a/src/engine/consensus/common/consensus_types.ts
+++ b/src/engine/consensus/common/consensus_types.ts
@@ -1,140 +1,160 @@
-/** The state of one replica. */
+/** State, options and roles of one replica. */
 import type { Reduction } from "../../../base/common/reduction.ts";
 import type { ConsensusEffect } from "./consensus_events.ts";
 import type { ConsensusMessage } from "./consensus_messages.ts";
 import type { ConsensusRules } from "./consensus_rules.ts";
 import type { Configuration, LogEntry, Snapshot } from "./log_types.ts";
 
-/** Times and bounds of a replica set; the same at all its replicas. */
+/** Timeouts and limits of a replica set; the same at all its replicas. */
 export interface ConsensusOptions {
+  /** Interval between heartbeat rounds. */
   readonly heartbeatMs: number;
-  /** A heartbeat round for reads begins so long after any other at least. */
+  /**
+   * Minimum interval between a heartbeat round for reads and the round before.
+   */
   readonly readGatherMs: number;
-  /** Election timeouts are drawn from this up to twice this. */
+  /** Election timeouts are drawn between this and twice this. */
   readonly electionTimeoutMs: number;
   /**
-   * The same for a replica that has heard no leader since its start; doubled
-   * with each attempt, up to `electionTimeoutMs`.
+   * The same for a replica that has received no leader message since its start;
+   * doubled with each attempt, up to `electionTimeoutMs`.
    */
   readonly firstElectionTimeoutMs: number;
-  /** A replica not heard from for this long is reported as silent. */
+  /** A replica that has not answered for this long is reported as silent. */
   readonly silentAfterMs: number;
   readonly readTimeoutMs: number;
-  /** Entries in one message. */
+  /** Maximum number of entries in one message. */
   readonly maxBatchEntries: number;
-  /** Payload of one message, but that one entry always fits. */
+  /** Maximum payload of one message; a single entry may exceed it. */
   readonly maxBatchBytes: number;
-  /** Proposals that wait for their commit. */
+  /** Maximum number of proposals not yet committed. */
   readonly maxPendingProposals: number;
+  /** Maximum reads pending at the leader, or forwarded by a replica. */
   readonly maxPendingReads: number;
+  /** Maximum size of one proposed command. */
   readonly maxPayloadBytes: number;
   readonly snapshotChunkBytes: number;
-  /** Applied entries from one snapshot to the next. */
+  /** Number of committed entries between snapshots. */
   readonly snapshotEveryEntries: number;
-  /** Entries kept in memory behind a snapshot, for slow replicas. */
+  /**
+   * Entries retained in memory after a snapshot covers them, for slow replicas.
+   */
   readonly trailingEntries: number;
-  /** Entries on their way to one replica, unanswered. */
+  /** Maximum number of unacknowledged entries sent to one replica. */
   readonly maxInFlightEntries: number;
 }
 
-/** The log in memory: the entries after `baseIndex`. */
+/** The in-memory log: the entries after `baseIndex`. */
 export interface ReplicatedLog {
   readonly baseIndex: number;
   readonly baseTerm: number;
   readonly entries: readonly LogEntry[];
 }
 
-/** What the leader knows of another replica. */
+/** The leader's view of another replica. */
 export interface ReplicaProgress {
+  /** Highest index up to which the replica's log matches the leader's. */
   readonly matchIndex: number;
+  /** Index of the next entry to send. */
   readonly nextIndex: number;
-  /** Where the logs meet isn't known: one message per heartbeat. */
+  /** The matching index is unknown: at most one message per heartbeat. */
   readonly isProbing: boolean;
-  readonly heardAtMs: number;
-  /** Highest heartbeat round that it answered. */
+  /** Time of the last answer; initially the time at which tracking started. */
+  readonly lastReceivedAtMs: number;
+  /** Highest heartbeat round that the replica acknowledged. */
   readonly ackedRound: number;
+  /** Whether the replica has been reported as silent. */
   readonly isSilent: boolean;
-  /** Next byte of the snapshot that is sent. */
+  /** Offset of the next chunk in the snapshot being sent. */
   readonly snapshotOffsetBytes: number;
-  /** Last index of the snapshot that is sent; 0 for none. */
+  /** Last index of the snapshot being sent; 0 if none. */
   readonly snapshotIndex: number;
 }
 
-/** A proposal that waits for its commit. */
+/** A proposal not yet committed. */
 export interface PendingProposal {
   readonly requestId: string;
   readonly index: number;
 }
 
-/** A read that waits for its heartbeat round. */
+/** A read at the leader, waiting for its heartbeat round. */
 export interface PendingRead {
   readonly requestId: string;
-  /** The replica that asked; undefined for this one. */
+  /** The replica that forwarded the read; undefined if it is local. */
   readonly from: string | undefined;
+  /** Heartbeat round whose acknowledgement by a quorum confirms the read. */
   readonly round: number;
-  /** Undefined until an entry of this term is committed. */
+  /**
+   * Commit index to read at; undefined until an entry of this term is
+   * committed.
+   */
   readonly readIndex: number | undefined;
   readonly requestedAtMs: number;
 }
 
-/** Leadership on its way to another voter. */
+/** A leadership transfer in progress. */
 export interface Transfer {
   readonly targetId: string;
+  /** When the transfer is abandoned. */
   readonly deadlineMs: number;
-  readonly isOrdered: boolean;
+  readonly isElectionOrderSent: boolean;
 }
 
-/** A replica that takes entries from a leader, or waits for one. */
+/** A replica that accepts entries from a leader, or waits for one. */
 export interface FollowerRole {
   readonly type: "Follower";
   readonly leaderId: string | undefined;
 }
 
-/** A replica that asks for votes, or first whether it would get them. */
+/** A replica that requests votes (Candidate) or pre-votes (PreCandidate). */
 export interface CandidateRole {
   readonly type: "PreCandidate" | "Candidate";
   readonly votes: ReadonlySet<string>;
 }
 
-/** The replica that appends entries in its term. */
+/** The leader of a term, the only replica that appends entries in it. */
 export interface LeaderRole {
   readonly type: "Leader";
   readonly progress: ReadonlyMap<string, ReplicaProgress>;
-  /** Index of the entry that opened the term. */
+  /** Index of the first entry that the leader appended in its term. */
   readonly firstIndex: number;
+  /** The last heartbeat round started. */
   readonly round: number;
-  readonly heartbeatAtMs: number;
-  readonly sinceMs: number;
+  readonly lastHeartbeatAtMs: number;
+  /** When this replica became leader. */
+  readonly startedAtMs: number;
   readonly proposals: readonly PendingProposal[];
   readonly reads: readonly PendingRead[];
   readonly transfer: Transfer | undefined;
 }
 
-/** What a replica is in its term. */
+/** The role of a replica in its term. */
 export type Role = FollowerRole | CandidateRole | LeaderRole;
 
-/** A message that leaves once `persistId` is synced. */
-export interface HeldMessage {
+/** A message to be sent once the write `persistId` is synced. */
+export interface DeferredMessage {
   readonly persistId: number;
   readonly to: string;
   readonly message: ConsensusMessage;
 }
 
-/** What was handed to the disk, and what is known to be synced. */
+/** Writes submitted to the disk, and which of them are synced. */
 export interface Persistence {
+  /** Id of the last write submitted. */
   readonly lastId: number;
+  /** Id of the last write synced. */
   readonly completedId: number;
-  /** Log ends as of each persist that is not yet completed. */
+  /** Last log index as of each write not yet completed. */
   readonly pending: readonly {
     readonly persistId: number;
     readonly lastIndex: number;
   }[];
-  /** The log is synced up to here. */
+  /** Last log index that is synced. */
   readonly durableIndex: number;
-  readonly held: readonly HeldMessage[];
+  readonly deferredMessages: readonly DeferredMessage[];
 }
 
-/** A snapshot of which not all pieces have come. */
+/** A snapshot of which not all chunks have arrived. */
 export interface IncomingSnapshot {
   readonly term: number;
   readonly lastIndex: number;
@@ -142,23 +162,25 @@
   readonly chunks: readonly Uint8Array[];
 }
 
-/** A read passed on to the leader. */
+/** A local read forwarded to the leader. */
 export interface ForwardedRead {
   readonly requestId: string;
   readonly requestedAtMs: number;
-  /** Undefined until the leader answered. */
+  /** Undefined until the leader has answered. */
   readonly readIndex: number | undefined;
 }
 
-/** Turns a clock that may jump back into one that doesn't. */
+/** Derives a clock that never goes back from one that may jump back. */
 export interface ReplicaClock {
-  /** The time that came with the last event. */
+  /** Time passed with the last event. */
   readonly nowMs: number;
-  /** The sum of the steps forward; every other time is on this clock. */
+  /**
+   * Sum of the forward steps; all other times of the state are on this clock.
+   */
   readonly elapsedMs: number;
 }
 
-/** The state of one replica. */
+/** The state of one replica; all times are `clock.elapsedMs`. */
 export interface ConsensusState {
   readonly replicaId: string;
   readonly options: ConsensusOptions;
@@ -168,31 +190,34 @@
   readonly role: Role;
   readonly log: ReplicatedLog;
   readonly snapshot: Snapshot | undefined;
-  /** The newest in the log, committed or not. */
+  /** The newest configuration in the log, committed or not. */
   readonly configuration: Configuration;
   readonly configurationIndex: number;
-  /** Entries up to here are committed, and applied. */
+  /** Last index that is committed, and applied. */
   readonly commitIndex: number;
-  /** Last index of the snapshot that was asked for. */
-  readonly snapshotAskedIndex: number;
+  /** Last index of the most recently requested snapshot. */
+  readonly requestedSnapshotIndex: number;
   readonly persistence: Persistence;
-  /** When a leader was last heard, in milliseconds. */
-  readonly leaderHeardAtMs: number | undefined;
+  /**
+   * Time of the last message from a leader; undefined if none since the start.
+   */
+  readonly lastLeaderMessageAtMs: number | undefined;
+  /** When this replica starts an election unless a leader message arrives. */
   readonly electionDeadlineMs: number;
-  /** The timeout drawn last; it holds until the next campaign. */
-  readonly electionWaitMs: number;
-  /** Makes the timeouts of one term differ. */
+  /** The election timeout in use; redrawn for each election attempt. */
+  readonly drawnElectionTimeoutMs: number;
+  /** Number of timeouts drawn; makes those of one term differ. */
   readonly electionAttempts: number;
-  readonly incoming: IncomingSnapshot | undefined;
+  readonly incomingSnapshot: IncomingSnapshot | undefined;
   readonly forwardedReads: readonly ForwardedRead[];
 }
 
 /** A step of a replica. */
 export type ConsensusStep = Reduction<ConsensusState, ConsensusEffect>;
 
-/** What a step is made with, besides state and event. */
+/** Input of a step besides state and event. */
 export interface StepContext {
-  /** The replica's own clock, which never jumps back. */
+  /** The replica's elapsed time, which never goes back. */
   readonly nowMs: number;
   readonly rules: ConsensusRules;
 }
--- a/src/engine/consensus/common/election.ts
+++ b/src/engine/consensus/common/election.ts
@@ -1,4 +1,7 @@
-/** Elects a leader: pre-vote, votes, leader stickiness (thesis, 3.4, 9.6). */
+/**
+ * Leader election with pre-vote and leader stickiness (Ongaro 2014, 3.4, 9.6).
+ * Stickiness: a replica with an active leader refuses to vote.
+ */
 import {
   chainReduction,
   createReduction,
@@ -21,7 +24,9 @@
 import { locateLogEnd } from "./replicated_log.ts";
 import { resetElectionTimeout, startFollowing, updateRole } from "./term.ts";
 
-/** Campaigns where no leader was heard for the election timeout. */
+/**
+ * Starts a pre-vote if the election timeout elapsed without a leader message.
+ */
 export function checkElectionTimeout(
   context: StepContext,
   state: ConsensusState,
@@ -35,7 +40,7 @@
     : updateRole(next, { type: "Follower", leaderId: undefined });
 }
 
-/** Campaigns in a new term. */
+/** Starts an election in a new term, and votes for this replica. */
 export function startElection(
   context: StepContext,
   state: ConsensusState,
@@ -65,7 +70,7 @@
   return step;
 }
 
-/** Answers a pre-vote; changes nothing. */
+/** Answers a pre-vote request; neither the term nor the vote changes. */
 export function answerPreVote(
   context: StepContext,
   state: ConsensusState,
@@ -73,7 +78,7 @@
 ): ConsensusStep {
   const { from, message } = request;
   const isGranted = message.term > state.term &&
-    !hasLiveLeader(context, state) &&
+    !hasActiveLeader(context, state) &&
     context.rules.isUpToDate(message, locateLogEnd(state.log));
   return sendOnceSynced(context, state, {
     to: from,
@@ -86,7 +91,7 @@
   });
 }
 
-/** Counts a pre-vote. */
+/** Counts a granted pre-vote; starts the election once a quorum granted one. */
 export function receivePreVote(
   context: StepContext,
   state: ConsensusState,
@@ -108,14 +113,14 @@
     : createReduction(next);
 }
 
-/** Votes, or refuses; ignores a candidate while a leader is heard. */
+/** Answers a vote request; ignores it while a leader is active. */
 export function answerVote(
   context: StepContext,
   state: ConsensusState,
   request: { readonly from: string; readonly message: VoteRequest },
 ): ConsensusStep {
   const { from, message } = request;
-  if (!message.isTransfer && hasLiveLeader(context, state)) {
+  if (!message.isTransfer && hasActiveLeader(context, state)) {
     return createReduction(state);
   }
   const step: ConsensusStep = message.term > state.term
@@ -124,7 +129,7 @@
   return chainReduction(step, (s) => vote(context, s, { from, message }));
 }
 
-/** Counts a vote. */
+/** Counts a granted vote; becomes leader once a quorum granted one. */
 export function receiveVote(
   context: StepContext,
   state: ConsensusState,
@@ -205,11 +210,11 @@
     hasQuorum(context, state, role.votes);
 }
 
-function hasLiveLeader(context: StepContext, state: ConsensusState): boolean {
+function hasActiveLeader(context: StepContext, state: ConsensusState): boolean {
   if (state.role.type === "Leader") {
     return true;
   }
-  const heardAtMs = state.leaderHeardAtMs;
-  return heardAtMs !== undefined &&
-    context.nowMs - heardAtMs < state.options.electionTimeoutMs;
+  const lastMessageAtMs = state.lastLeaderMessageAtMs;
+  return lastMessageAtMs !== undefined &&
+    context.nowMs - lastMessageAtMs < state.options.electionTimeoutMs;
 }
--- a/src/engine/consensus/common/entry_payload.ts
+++ b/src/engine/consensus/common/entry_payload.ts
@@ -1,17 +1,17 @@
-/** Tells commands and configurations apart within an entry's payload. */
+/** Encoding of log entry payloads: empty, command or configuration. */
 import type { Configuration, LogEntry } from "./log_types.ts";
 
 const COMMAND_TAG = 0;
 const CONFIGURATION_TAG = 1;
 
-/** What an entry holds. */
+/** The decoded payload of an entry. */
 export type EntryContent =
-  /** Opens a term. */
+  /** The first entry that a leader appends in its term. */
   | { readonly type: "Empty" }
   | { readonly type: "Command"; readonly payload: Uint8Array }
   | { readonly type: "Configuration"; readonly configuration: Configuration };
 
-/** Encodes the entry that opens a term. */
+/** Encodes the empty entry that a leader appends first in its term. */
 export function encodeEmpty(): Uint8Array {
   return new Uint8Array(0);
 }
@@ -27,7 +27,9 @@
   return addTag(CONFIGURATION_TAG, new TextEncoder().encode(text));
 }
 
-/** Decodes an entry's payload; only for payloads encoded here. */
+/**
+ * Decodes an entry's payload, which must come from one of the encoders above.
+ */
 export function decodeEntry(entry: LogEntry): EntryContent {
   const { payload } = entry;
   if (payload.length === 0) {
@@ -42,7 +44,7 @@
   return { type: "Configuration", configuration };
 }
 
-/** Tells whether an entry holds a configuration, without decoding it. */
+/** Returns whether an entry holds a configuration, without decoding it. */
 export function isConfigurationEntry(entry: LogEntry): boolean {
   return entry.payload[0] === CONFIGURATION_TAG;
 }
--- a/src/engine/consensus/common/leadership.ts
+++ b/src/engine/consensus/common/leadership.ts
@@ -1,4 +1,4 @@
-/** Takes up leadership: opens the term with an empty entry. */
+/** Start of leadership, and appends by the leader. */
 import { chainReduction } from "../../../base/common/reduction.ts";
 import { advanceCommit } from "./commit.ts";
 import type {
@@ -15,7 +15,10 @@
 import { locateLogEnd } from "./replicated_log.ts";
 import { updateRole } from "./term.ts";
 
-/** Becomes leader of the term that it won. */
+/**
+ * Becomes leader after a won election. Appends an empty entry, since entries of
+ * earlier terms are committed only together with one of this term.
+ */
 export function startLeadership(
   context: StepContext,
   state: ConsensusState,
@@ -29,27 +32,27 @@
     progress,
     firstIndex: lastIndex + 1,
     round: 0,
-    heartbeatAtMs: context.nowMs,
-    sinceMs: context.nowMs,
+    lastHeartbeatAtMs: context.nowMs,
+    startedAtMs: context.nowMs,
     proposals: [],
     reads: [],
     transfer: undefined,
   };
-  const opened = chainReduction(
+  const started = chainReduction(
     updateRole(state, role),
-    (s) => writeEntry(s, encodeEmpty()),
+    (s) => appendEntry(s, encodeEmpty()),
   );
-  return chainReduction(opened, (s) => sendHeartbeats(context, s));
+  return chainReduction(started, (s) => sendHeartbeats(context, s));
 }
 
-/** Appends an entry of the leader's term and sends it on. */
+/** Appends an entry in the leader's term and sends it to the peers. */
 export function appendAsLeader(
   context: StepContext,
   state: ConsensusState,
   payload: Uint8Array,
 ): ConsensusStep {
   return chainReduction(
-    writeEntry(state, payload),
+    appendEntry(state, payload),
     (s) =>
       chainReduction(
         sendNewEntries(context, s),
@@ -58,7 +61,7 @@
   );
 }
 
-/** Creates what a leader knows of a replica before it answered. */
+/** Creates the initial progress of a replica, before its first answer. */
 export function createProgress(
   context: StepContext,
   nextIndex: number,
@@ -67,7 +70,7 @@
     matchIndex: 0,
     nextIndex,
     isProbing: true,
-    heardAtMs: context.nowMs,
+    lastReceivedAtMs: context.nowMs,
     ackedRound: 0,
     isSilent: false,
     snapshotOffsetBytes: 0,
@@ -75,7 +78,7 @@
   };
 }
 
-function writeEntry(
+function appendEntry(
   state: ConsensusState,
   payload: Uint8Array,
 ): ConsensusStep {
--- a/src/engine/consensus/common/leadership_transfer.ts
+++ b/src/engine/consensus/common/leadership_transfer.ts
@@ -1,4 +1,4 @@
-/** Hands leadership to another voter before a planned stop (thesis, 3.10). */
+/** Leadership transfer before a planned stop (Ongaro 2014, 3.10). */
 import {
   appendEffects,
   createReduction,
@@ -11,7 +11,10 @@
 } from "./consensus_types.ts";
 import { locateLogEnd } from "./replicated_log.ts";
 
-/** Stops taking proposals and picks who leads next. */
+/**
+ * Stops accepting proposals and starts the transfer to `targetId`, or to the
+ * voter with the longest matching log if undefined.
+ */
 export function startTransfer(
   context: StepContext,
   state: ConsensusState,
@@ -21,21 +24,22 @@
   if (role.type !== "Leader" || role.transfer !== undefined) {
     return createReduction(state);
   }
-  const picked = targetId ?? pickTarget(state, role);
-  const isVoter = picked !== undefined && picked !== state.replicaId &&
-    state.configuration.voters.includes(picked);
-  if (!isVoter) {
+  const selectedId = targetId ?? selectTarget(state, role);
+  const isOtherVoter = selectedId !== undefined &&
+    selectedId !== state.replicaId &&
+    state.configuration.voters.includes(selectedId);
+  if (!isOtherVoter) {
     return createReduction(state);
   }
   const transfer = {
-    targetId: picked,
+    targetId: selectedId,
     deadlineMs: context.nowMs + options.electionTimeoutMs,
-    isOrdered: false,
+    isElectionOrderSent: false,
   };
   return sendElectionOrder({ ...state, role: { ...role, transfer } });
 }
 
-/** Orders the target to campaign, once it has the whole log. */
+/** Orders the target to start an election once it has the whole log. */
 export function sendElectionOrder(state: ConsensusState): ConsensusStep {
   const { role } = state;
   if (role.type !== "Leader" || role.transfer === undefined) {
@@ -44,10 +48,13 @@
   const { transfer } = role;
   const matchIndex = role.progress.get(transfer.targetId)?.matchIndex ?? 0;
   const isReady = matchIndex === locateLogEnd(state.log).lastIndex;
-  if (transfer.isOrdered || !isReady) {
+  if (transfer.isElectionOrderSent || !isReady) {
     return createReduction(state);
   }
-  const next = { ...role, transfer: { ...transfer, isOrdered: true } };
+  const next = {
+    ...role,
+    transfer: { ...transfer, isElectionOrderSent: true },
+  };
   return createReduction({ ...state, role: next }, [{
     type: "SendMessage",
     to: transfer.targetId,
@@ -55,7 +62,7 @@
   }]);
 }
 
-/** Takes proposals again where the target didn't win in time. */
+/** Accepts proposals again if the target did not win in time. */
 export function expireTransfer(
   context: StepContext,
   state: ConsensusState,
@@ -73,15 +80,15 @@
   return appendEffects(step, { type: "TransferExpired", targetId });
 }
 
-function pickTarget(
+function selectTarget(
   state: ConsensusState,
   role: LeaderRole,
 ): string | undefined {
   return state.configuration.voters
     .filter((id) => id !== state.replicaId && !role.progress.get(id)?.isSilent)
-    .sort((a, b) => readMatch(role, b) - readMatch(role, a))[0];
+    .sort((a, b) => getMatchIndex(role, b) - getMatchIndex(role, a))[0];
 }
 
-function readMatch(role: LeaderRole, replicaId: string): number {
+function getMatchIndex(role: LeaderRole, replicaId: string): number {
   return role.progress.get(replicaId)?.matchIndex ?? 0;
 }
--- a/src/engine/consensus/common/log_acceptance.ts
+++ b/src/engine/consensus/common/log_acceptance.ts
@@ -15,13 +15,13 @@
 import { findFirstOfTerm, locateLogEnd, lookupTerm } from "./replicated_log.ts";
 import { startFollowing } from "./term.ts";
 
-/** An append and who sent it. */
+/** An append request and its sender. */
 export interface ReceivedAppend {
   readonly from: string;
   readonly message: AppendRequest;
 }
 
-/** Takes entries from the leader, or says where the logs part. */
+/** Accepts entries from the leader, or reports where the logs diverge. */
 export function acceptAppend(
   context: StepContext,
   state: ConsensusState,
@@ -35,12 +35,15 @@
     acceptLeader(context, state, append),
     (s) =>
       hasPredecessor(context, s, message)
-        ? takeEntries(context, s, append)
+        ? acceptEntries(context, s, append)
         : refuseAppend(context, s, append),
   );
 }
 
-/** Follows the sender of an append or a snapshot of a current term. */
+/**
+ * Follows the sender of an append or a snapshot chunk, whose term must not be
+ * older than this replica's, and restarts the election timeout.
+ */
 export function acceptLeader(
   context: StepContext,
   state: ConsensusState,
@@ -61,8 +64,8 @@
     (s) =>
       createReduction({
         ...s,
-        electionDeadlineMs: context.nowMs + s.electionWaitMs,
-        leaderHeardAtMs: context.nowMs,
+        electionDeadlineMs: context.nowMs + s.drawnElectionTimeoutMs,
+        lastLeaderMessageAtMs: context.nowMs,
       }),
   );
 }
@@ -73,7 +76,7 @@
   message: AppendRequest,
 ): boolean {
   const { previousIndex, previousTerm } = message;
-  // What a snapshot replaced is committed, so it can't differ.
+  // Entries up to the base index are committed, so they cannot differ.
   return previousIndex < state.log.baseIndex ||
     context.rules.isPredecessorEqual(
       lookupTerm(state.log, previousIndex),
@@ -81,7 +84,7 @@
     );
 }
 
-function takeEntries(
+function acceptEntries(
   context: StepContext,
   state: ConsensusState,
   append: ReceivedAppend,
@@ -123,7 +126,7 @@
   const entries = message.entries.slice(firstNew);
   const from = entries[0]!.index;
   if (from <= state.commitIndex) {
-    throw new Error(`Committed entry ${from} would be replaced`);
+    throw new Error(`Append request would overwrite committed entry ${from}`);
   }
   const { lastIndex } = locateLogEnd(state.log);
   const change = from > lastIndex ? { entries } : {
--- a/src/engine/consensus/common/log_types.ts
+++ b/src/engine/consensus/common/log_types.ts
@@ -1,29 +1,31 @@
-/** What consensus keeps on disk: the contract between its reducer and storage. */
+/**
+ * What consensus stores on disk: the contract between its reducer and storage.
+ */
 
 /** One entry of the replicated log. */
 export interface LogEntry {
-  /** Position, from 1. */
+  /** Position in the log, from 1. */
   readonly index: number;
   /** Term of the leader that appended it. */
   readonly term: number;
-  /** The encoded command; empty for the entry that opens a term. */
+  /** The encoded content; empty for the first entry of a term. */
   readonly payload: Uint8Array;
 }
 
-/** What must be synced before a vote or an answer leaves the replica. */
+/** Term and vote; must be synced before a vote or an answer is sent. */
 export interface HardState {
   readonly term: number;
-  /** Replica voted for in `term`; undefined for none. */
+  /** Replica voted for in `term`; undefined if none. */
   readonly votedFor: string | undefined;
 }
 
-/** The replicas that count, and those that only listen. */
+/** The members: voters form quorums; learners only receive the log. */
 export interface Configuration {
   readonly voters: readonly string[];
   readonly learners: readonly string[];
 }
 
-/** The state machine up to one entry, in place of the log before it. */
+/** The state machine after entry `lastIndex`; replaces the log up to it. */
 export interface Snapshot {
   readonly lastIndex: number;
   readonly lastTerm: number;
@@ -32,7 +34,7 @@
   readonly payload: Uint8Array;
 }
 
-/** What a replica finds on its disk when it starts. */
+/** What a replica reads from its disk at start. */
 export interface Recovered {
   readonly hardState: HardState;
   readonly snapshot: Snapshot | undefined;
--- a/src/engine/consensus/common/persistence.ts
+++ b/src/engine/consensus/common/persistence.ts
@@ -1,23 +1,23 @@
-/** Hands writes to the disk, and holds back what promises them. */
+/** Log and snapshot writes, and messages deferred until a write is synced. */
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { ConsensusMessage } from "./consensus_messages.ts";
 import type {
   ConsensusState,
   ConsensusStep,
-  HeldMessage,
+  DeferredMessage,
   Persistence,
   StepContext,
 } from "./consensus_types.ts";
 import type { HardState, LogEntry, Snapshot } from "./log_types.ts";
 import { appendToLog, locateLogEnd } from "./replicated_log.ts";
 
-/** What a write changes. */
+/** A change to the log: a truncation, then an append. */
 export interface LogChange {
   readonly truncateFrom?: number;
   readonly entries?: readonly LogEntry[];
 }
 
-/** Writes term and vote, as they are in `state`. */
+/** Writes the term and vote of `state`. */
 export function writeHardState(
   context: StepContext,
   state: ConsensusState,
@@ -27,7 +27,7 @@
   return writeChange(state, hardState, {});
 }
 
-/** Changes the log, in memory and on the disk. */
+/** Changes the log in memory and on disk. */
 export function writeLog(
   state: ConsensusState,
   change: LogChange,
@@ -38,11 +38,11 @@
   if (truncateFrom === undefined) {
     return writeChange(next, undefined, change);
   }
-  const persistence = limitDurable(state.persistence, truncateFrom - 1);
+  const persistence = limitDurableIndex(state.persistence, truncateFrom - 1);
   return writeChange({ ...next, persistence }, undefined, change);
 }
 
-/** Writes a snapshot that replaces the log up to its end. */
+/** Writes a snapshot that replaces the log up to the snapshot's last index. */
 export function writeSnapshot(
   state: ConsensusState,
   snapshot: Snapshot,
@@ -57,7 +57,7 @@
   }]);
 }
 
-/** Sends a message at once: it promises nothing that isn't synced. */
+/** Sends a message at once; it must not depend on unsynced writes. */
 export function sendNow(
   state: ConsensusState,
   to: string,
@@ -66,34 +66,39 @@
   return createReduction(state, [{ type: "SendMessage", to, message }]);
 }
 
-/** Sends a message as soon as all that was written before it is synced. */
+/** Sends a message once all earlier writes are synced. */
 export function sendOnceSynced(
   context: StepContext,
   state: ConsensusState,
-  held: Omit<HeldMessage, "persistId">,
+  deferred: Omit<DeferredMessage, "persistId">,
 ): ConsensusStep {
   const { persistence } = state;
   const persistId = persistence.lastId;
-  const isToSelf = held.to === state.replicaId;
+  const isToSelf = deferred.to === state.replicaId;
   const mustWait = isToSelf || context.rules.isPersistAwaited();
   if (!mustWait || persistence.completedId >= persistId) {
-    return sendNow(state, held.to, held.message);
+    return sendNow(state, deferred.to, deferred.message);
   }
-  const others = persistence.held.filter((other) =>
-    other.persistId !== persistId || !isReplacedBy(other, held)
+  const others = persistence.deferredMessages.filter((other) =>
+    other.persistId !== persistId || !isReplacedBy(other, deferred)
   );
-  const next = [...others, { persistId, ...held }];
+  const next = [...others, { persistId, ...deferred }];
   return createReduction({
     ...state,
-    persistence: { ...persistence, held: next },
+    persistence: { ...persistence, deferredMessages: next },
   });
 }
 
-/** Completes the persists up to `persistId`; returns what may leave now. */
+/**
+ * Completes the writes up to `persistId`; returns the messages due to be sent.
+ */
 export function completePersist(
   state: ConsensusState,
   persistId: number,
-): { readonly state: ConsensusState; readonly due: readonly HeldMessage[] } {
+): {
+  readonly state: ConsensusState;
+  readonly due: readonly DeferredMessage[];
+} {
   const { persistence } = state;
   const done = persistence.pending.filter((p) => p.persistId <= persistId);
   const completedId = Math.max(persistence.completedId, persistId);
@@ -102,19 +107,23 @@
     completedId,
     durableIndex: done.at(-1)?.lastIndex ?? persistence.durableIndex,
     pending: persistence.pending.filter((p) => p.persistId > persistId),
-    held: persistence.held.filter((h) => h.persistId > completedId),
+    deferredMessages: persistence.deferredMessages.filter((h) =>
+      h.persistId > completedId
+    ),
   };
-  const due = persistence.held.filter((h) => h.persistId <= completedId);
+  const due = persistence.deferredMessages.filter((h) =>
+    h.persistId <= completedId
+  );
   return { state: { ...state, persistence: next }, due };
 }
 
 function isReplacedBy(
-  held: HeldMessage,
-  next: Omit<HeldMessage, "persistId">,
+  deferred: DeferredMessage,
+  next: Omit<DeferredMessage, "persistId">,
 ): boolean {
-  const before = held.message;
+  const before = deferred.message;
   const after = next.message;
-  return held.to === next.to &&
+  return deferred.to === next.to &&
     before.type === "AppendResponse" && after.type === "AppendResponse" &&
     before.isAccepted && after.isAccepted && before.term === after.term &&
     before.round <= after.round && before.matchIndex <= after.matchIndex;
@@ -143,7 +152,10 @@
   return { ...persistence, lastId: persistId, pending };
 }
 
-function limitDurable(persistence: Persistence, index: number): Persistence {
+function limitDurableIndex(
+  persistence: Persistence,
+  index: number,
+): Persistence {
   return {
     ...persistence,
     durableIndex: Math.min(persistence.durableIndex, index),
--- a/src/engine/consensus/common/progress.ts
+++ b/src/engine/consensus/common/progress.ts
@@ -1,8 +1,10 @@
-/** Updates what the leader knows of one replica. */
+/** The leader's record of one replica's replication progress. */
 import { setEntry } from "../../../base/common/maps.ts";
 import type { ConsensusState, ReplicaProgress } from "./consensus_types.ts";
 
-/** Updates the progress of `replicaId`, where this replica leads it. */
+/**
+ * Updates the progress of `replicaId`; no-op unless leader and peer is known.
+ */
 export function updateProgress(
   state: ConsensusState,
   replicaId: string,
--- a/src/engine/consensus/common/proposal.ts
+++ b/src/engine/consensus/common/proposal.ts
@@ -1,4 +1,4 @@
-/** Takes proposals as leader, within bounds. */
+/** Proposals: admission by the leader, and their outcome. */
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { ConsensusFailure } from "./consensus_events.ts";
 import type {
@@ -12,13 +12,13 @@
 import { locateLogEnd } from "./replicated_log.ts";
 import { findLeader } from "./term.ts";
 
-/** A command that was proposed. */
+/** A proposed command. */
 export interface ProposalRequest {
   readonly requestId: string;
   readonly payload: Uint8Array;
 }
 
-/** Appends a command as leader. */
+/** Appends a command as leader, or fails it with the reason. */
 export function startProposal(
   context: StepContext,
   state: ConsensusState,
@@ -30,11 +30,14 @@
     return failProposal(state, requestId, failure);
   }
   const index = locateLogEnd(state.log).lastIndex + 1;
-  const noted = addProposal(state, { requestId, index });
-  return appendAsLeader(context, noted, encodeCommand(payload));
+  const recorded = addProposal(state, { requestId, index });
+  return appendAsLeader(context, recorded, encodeCommand(payload));
 }
 
-/** Checks whether a proposal of `sizeBytes` may be appended now. */
+/**
+ * Returns why a proposal of `sizeBytes` cannot be appended; undefined if it
+ * can.
+ */
 export function checkProposal(
   state: ConsensusState,
   sizeBytes: number,
@@ -52,7 +55,7 @@
     : undefined;
 }
 
-/** Notes a proposal, to be answered once it is committed. */
+/** Records a proposal, to be answered once it is committed. */
 export function addProposal(
   state: ConsensusState,
   proposal: PendingProposal,
@@ -65,7 +68,7 @@
   return { ...state, role: { ...role, proposals } };
 }
 
-/** Answers that a proposal failed. */
+/** Reports that a proposal failed. */
 export function failProposal(
   state: ConsensusState,
   requestId: string,
--- a/src/engine/consensus/common/quorum.ts
+++ b/src/engine/consensus/common/quorum.ts
@@ -1,4 +1,4 @@
-/** Counts voters. */
+/** Quorum counting. */
 import { isQuorum } from "./consensus_rules.ts";
 import type { QuorumCount } from "./consensus_rules.ts";
 import type {
@@ -8,13 +8,15 @@
   StepContext,
 } from "./consensus_types.ts";
 
-/** Lists all replicas but this one. */
+/** Lists all other replicas, learners included. */
 export function listPeers(state: ConsensusState): readonly string[] {
   const { voters, learners } = state.configuration;
   return [...voters, ...learners].filter((id) => id !== state.replicaId);
 }
 
-/** Lists the replicas that count, this one included where it does. */
+/**
+ * Lists the replicas that count toward a quorum, this one included if it does.
+ */
 export function listCounted(
   context: StepContext,
   state: ConsensusState,
@@ -24,12 +26,12 @@
     .filter((id) => context.rules.isCounted(configuration, id));
 }
 
-/** Tells whether this replica may campaign. */
+/** Returns whether this replica is a voter, and so may start an election. */
 export function isVoter(state: ConsensusState): boolean {
   return state.configuration.voters.includes(state.replicaId);
 }
 
-/** Counts those of `ids` that count, against the voters. */
+/** Counts how many of `ids` count toward a quorum, out of all voters. */
 export function countVoters(
   context: StepContext,
   state: ConsensusState,
@@ -42,7 +44,7 @@
   };
 }
 
-/** Tells whether `ids` hold a quorum. */
+/** Returns whether `ids` include a quorum. */
 export function hasQuorum(
   context: StepContext,
   state: ConsensusState,
@@ -51,14 +53,14 @@
   return isQuorum(countVoters(context, state, ids));
 }
 
-/** Selects the replicas whose progress passes, and the leader itself. */
+/** Selects the leader itself and the replicas whose progress matches. */
 export function selectReplicas(
   state: ConsensusState,
   role: LeaderRole,
-  isWanted: (progress: ReplicaProgress) => boolean,
+  isSelected: (progress: ReplicaProgress) => boolean,
 ): ReadonlySet<string> {
-  const wanted = [...role.progress]
-    .filter(([, progress]) => isWanted(progress))
+  const selected = [...role.progress]
+    .filter(([, progress]) => isSelected(progress))
     .map(([id]) => id);
-  return new Set([state.replicaId, ...wanted]);
+  return new Set([state.replicaId, ...selected]);
 }
--- a/src/engine/consensus/common/read_index.ts
+++ b/src/engine/consensus/common/read_index.ts
@@ -1,4 +1,8 @@
-/** Linearizable reads by read index, without clocks (thesis, 6.4). */
+/**
+ * Linearizable reads by read index, which need no clocks (Ongaro 2014, 6.4).
+ * The leader takes its commit index, confirms its leadership by a heartbeat
+ * round, and answers; the reader answers once it has applied that index.
+ */
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { ConsensusEffect, ConsensusFailure } from "./consensus_events.ts";
 import type { ReadIndexResponse } from "./consensus_messages.ts";
@@ -12,14 +16,14 @@
 import { countVoters, selectReplicas } from "./quorum.ts";
 import { findLeader } from "./term.ts";
 
-/** Who asks for a read. */
+/** A read request. */
 export interface ReadRequest {
   readonly requestId: string;
-  /** The replica that asks; undefined for this one. */
+  /** The replica that forwarded the read; undefined if it is local. */
   readonly from: string | undefined;
 }
 
-/** Starts a read at the leader, or passes it on to the leader. */
+/** Starts a read as leader, or forwards it to the leader. */
 export function startRead(
   context: StepContext,
   state: ConsensusState,
@@ -32,11 +36,11 @@
   const leaderId = findLeader(state);
   if (from !== undefined || leaderId === undefined) {
     const failure = { type: "NotLeader", leaderId } as const;
-    return createReduction(state, [createFailure(state, request, failure)]);
+    return createReduction(state, [createReadFailure(state, request, failure)]);
   }
   if (state.forwardedReads.length >= state.options.maxPendingReads) {
     const failure = { type: "Overloaded" } as const;
-    return createReduction(state, [createFailure(state, request, failure)]);
+    return createReduction(state, [createReadFailure(state, request, failure)]);
   }
   const read = {
     requestId,
@@ -51,7 +55,7 @@
   }]);
 }
 
-/** Answers the reads whose heartbeat round a quorum answered. */
+/** Answers the reads whose heartbeat round a quorum has acknowledged. */
 export function settleReads(
   context: StepContext,
   state: ConsensusState,
@@ -60,21 +64,21 @@
   if (role.type !== "Leader" || role.reads.length === 0) {
     return createReduction(state);
   }
-  const known = role.reads.map((read) => ({
+  const indexed = role.reads.map((read) => ({
     ...read,
-    readIndex: read.readIndex ?? pickReadIndex(context, state, role),
+    readIndex: read.readIndex ?? getReadIndex(context, state, role),
   }));
   const isDone = (read: PendingRead) =>
     read.readIndex !== undefined && read.round <= role.round &&
     isConfirmed(context, state, read.round);
-  const reads = known.filter((read) => !isDone(read));
+  const reads = indexed.filter((read) => !isDone(read));
   const next = { ...state, role: { ...role, reads } };
-  const effects = known.filter(isDone)
-    .map((read) => createAnswer(state, read, read.readIndex!));
+  const effects = indexed.filter(isDone)
+    .map((read) => createReadAnswer(state, read, read.readIndex!));
   return createReduction(next, effects);
 }
 
-/** Tells whether reads wait for a round that isn't started. */
+/** Returns whether all pending reads wait for a round not yet started. */
 export function hasWaitingReads(state: ConsensusState): boolean {
   const { role } = state;
   return role.type === "Leader" && role.reads.length > 0 &&
@@ -82,19 +86,20 @@
 }
 
 /**
- * Tells whether a round for reads may begin: replicas that prove their state
- * by turns would otherwise start a round each, a message to and from every
- * replica, the square of their number in all.
+ * Returns whether a round for reads may start. The gathering interval limits
+ * their rate: if replicas confirm their state with a read each, one after the
+ * other, each read would start a round with a message to and from every
+ * replica, quadratic in the number of replicas.
  */
 export function isReadRoundDue(
   context: StepContext,
   { role, options }: ConsensusState,
 ): boolean {
   return role.type === "Leader" &&
-    context.nowMs - role.heartbeatAtMs >= options.readGatherMs;
+    context.nowMs - role.lastHeartbeatAtMs >= options.readGatherMs;
 }
 
-/** Takes the leader's answer to a read that was passed on. */
+/** Receives the leader's answer to a forwarded read. */
 export function receiveReadIndex(
   state: ConsensusState,
   message: ReadIndexResponse,
@@ -119,7 +124,7 @@
   return settleForwardedReads({ ...state, forwardedReads });
 }
 
-/** Answers the passed-on reads whose index is applied. */
+/** Answers the forwarded reads whose read index is applied. */
 export function settleForwardedReads(state: ConsensusState): ConsensusStep {
   const { commitIndex, forwardedReads } = state;
   const isDone = (read: { readonly readIndex: number | undefined }) =>
@@ -138,32 +143,34 @@
   );
 }
 
-/** Fails the reads that waited too long. */
+/** Fails the reads that have waited for `readTimeoutMs`. */
 export function expireReads(
   context: StepContext,
   state: ConsensusState,
 ): ConsensusStep {
   const { role, forwardedReads, options } = state;
-  const isLate = (read: { readonly requestedAtMs: number }) =>
+  const isExpired = (read: { readonly requestedAtMs: number }) =>
     context.nowMs - read.requestedAtMs >= options.readTimeoutMs;
-  const lateForwarded = forwardedReads.filter(isLate);
-  const lateReads = role.type === "Leader" ? role.reads.filter(isLate) : [];
-  if (lateForwarded.length + lateReads.length === 0) {
+  const expiredForwarded = forwardedReads.filter(isExpired);
+  const expiredReads = role.type === "Leader"
+    ? role.reads.filter(isExpired)
+    : [];
+  if (expiredForwarded.length + expiredReads.length === 0) {
     return createReduction(state);
   }
   const next = {
     ...state,
-    forwardedReads: forwardedReads.filter((read) => !isLate(read)),
+    forwardedReads: forwardedReads.filter((read) => !isExpired(read)),
     role: role.type === "Leader"
-      ? { ...role, reads: role.reads.filter((read) => !isLate(read)) }
+      ? { ...role, reads: role.reads.filter((read) => !isExpired(read)) }
       : role,
   };
   const failure = { type: "TimedOut" } as const;
   const failed = [
-    ...lateReads,
-    ...lateForwarded.map((read) => ({ ...read, from: undefined })),
+    ...expiredReads,
+    ...expiredForwarded.map((read) => ({ ...read, from: undefined })),
   ];
-  const effects = failed.map((read) => createFailure(state, read, failure));
+  const effects = failed.map((read) => createReadFailure(state, read, failure));
   return createReduction(next, effects);
 }
 
@@ -175,20 +182,20 @@
   const { requestId, from, role } = request;
   if (role.reads.length >= state.options.maxPendingReads) {
     const failure = { type: "Overloaded" } as const;
-    return createReduction(state, [createFailure(state, request, failure)]);
+    return createReduction(state, [createReadFailure(state, request, failure)]);
   }
   const read: PendingRead = {
     requestId,
     from,
     round: role.round + 1,
-    readIndex: pickReadIndex(context, state, role),
+    readIndex: getReadIndex(context, state, role),
     requestedAtMs: context.nowMs,
   };
   const reads = [...role.reads, read];
   return createReduction({ ...state, role: { ...role, reads } });
 }
 
-function pickReadIndex(
+function getReadIndex(
   context: StepContext,
   state: ConsensusState,
   role: LeaderRole,
@@ -214,7 +221,7 @@
   return context.rules.isReadConfirmed(countVoters(context, state, acked));
 }
 
-function createAnswer(
+function createReadAnswer(
   state: ConsensusState,
   read: PendingRead,
   readIndex: number,
@@ -228,7 +235,7 @@
   };
 }
 
-function createFailure(
+function createReadFailure(
   state: ConsensusState,
   request: ReadRequest,
   failure: ConsensusFailure,
--- a/src/engine/consensus/common/recovery.ts
+++ b/src/engine/consensus/common/recovery.ts
@@ -1,4 +1,4 @@
-/** Starts a replica from what its disk holds. */
+/** Restores a replica from the contents of its disk. */
 import { createReduction } from "../../../base/common/reduction.ts";
 import { findConfiguration } from "./configuration.ts";
 import type {
@@ -12,16 +12,18 @@
 import { RAFT_RULES } from "./consensus_rules.ts";
 import { resetElectionTimeout } from "./term.ts";
 
-/** Which replica starts, and from what. */
+/** What a replica is restored from. */
 export interface RestoreOptions {
-  /** Belongs to the disk: a replica on an empty disk has a new one. */
+  /** Stored on the disk: a replica with an empty disk gets a new id. */
   readonly replicaId: string;
   readonly options: ConsensusOptions;
   readonly recovered: Recovered;
   readonly nowMs: number;
 }
 
-/** What an empty disk holds: no configuration, so it only listens. */
+/**
+ * The contents of an empty disk: no configuration, so the replica never votes.
+ */
 export const EMPTY_DISK: Recovered = {
   hardState: { term: 0, votedFor: undefined },
   snapshot: undefined,
@@ -29,7 +31,7 @@
 };
 
 /**
- * Creates the snapshot that founds a replica set. Each founding voter writes
+ * Creates the snapshot that bootstraps a replica set. Each initial voter writes
  * it once, before its first start, and never onto a disk that was wiped.
  */
 export function createFoundingSnapshot(
@@ -39,7 +41,7 @@
   return { lastIndex: 0, lastTerm: 0, configuration, payload };
 }
 
-/** Restores a replica; installs the snapshot that its disk holds. */
+/** Restores a replica, and installs its snapshot if there is one. */
 export function restoreConsensus(restore: RestoreOptions): ConsensusStep {
   const { replicaId, options, recovered, nowMs } = restore;
   const { hardState, snapshot } = recovered;
@@ -50,7 +52,7 @@
     completedId: 0,
     pending: [],
     durableIndex: lastIndex,
-    held: [],
+    deferredMessages: [],
   };
   const state: ConsensusState = {
     replicaId,
@@ -62,13 +64,13 @@
     snapshot,
     ...findConfiguration(log, snapshot),
     commitIndex: log.baseIndex,
-    snapshotAskedIndex: 0,
+    requestedSnapshotIndex: 0,
     persistence,
-    leaderHeardAtMs: undefined,
+    lastLeaderMessageAtMs: undefined,
     electionDeadlineMs: 0,
-    electionWaitMs: 0,
+    drawnElectionTimeoutMs: 0,
     electionAttempts: 0,
-    incoming: undefined,
+    incomingSnapshot: undefined,
     forwardedReads: [],
   };
   const context = { nowMs: 0, rules: RAFT_RULES };
@@ -83,7 +85,9 @@
   const baseTerm = recovered.snapshot?.lastTerm ?? 0;
   const entries = recovered.entries.filter(({ index }) => index > baseIndex);
   if (entries.length > 0 && entries[0]!.index !== baseIndex + 1) {
-    throw new Error(`Log has no entry ${baseIndex + 1} after its snapshot`);
+    throw new Error(
+      `Log lacks entry ${baseIndex + 1}, the first after its snapshot`,
+    );
   }
   return { baseIndex, baseTerm, entries };
 }
--- a/src/engine/consensus/common/replica_contact.ts
+++ b/src/engine/consensus/common/replica_contact.ts
@@ -1,4 +1,4 @@
-/** What the leader makes of silence: check-quorum, and who is silent. */
+/** Contact of the leader with its peers: check-quorum and silence reports. */
 import {
   appendEffects,
   createReduction,
@@ -12,8 +12,8 @@
 import { hasQuorum, selectReplicas } from "./quorum.ts";
 import { startFollowing } from "./term.ts";
 
-/** Notes that a replica answered in this term. */
-export function noteContact(
+/** Records that a replica answered in this term. */
+export function recordContact(
   context: StepContext,
   state: ConsensusState,
   contact: { readonly from: string; readonly round: number },
@@ -25,15 +25,15 @@
     return createReduction(state);
   }
   const ackedRound = Math.max(before.ackedRound, round);
-  const { nowMs: heardAtMs } = context;
-  const isNoted = before.heardAtMs === heardAtMs &&
+  const { nowMs } = context;
+  const isRecorded = before.lastReceivedAtMs === nowMs &&
     before.ackedRound === ackedRound && !before.isSilent;
-  if (isNoted) {
+  if (isRecorded) {
     return createReduction(state);
   }
   const next = updateProgress(state, from, (progress) => ({
     ...progress,
-    heardAtMs,
+    lastReceivedAtMs: nowMs,
     ackedRound,
     isSilent: false,
   }));
@@ -43,7 +43,7 @@
     : step;
 }
 
-/** Steps down where no quorum answered for the election timeout. */
+/** Steps down if no quorum answered within the election timeout. */
 export function checkQuorumContact(
   context: StepContext,
   state: ConsensusState,
@@ -51,20 +51,20 @@
   const { role, term, options } = state;
   const { nowMs } = context;
   const { electionTimeoutMs } = options;
-  if (role.type !== "Leader" || nowMs - role.sinceMs < electionTimeoutMs) {
+  if (role.type !== "Leader" || nowMs - role.startedAtMs < electionTimeoutMs) {
     return createReduction(state);
   }
-  const heard = selectReplicas(
+  const reachable = selectReplicas(
     state,
     role,
-    (progress) => nowMs - progress.heardAtMs < electionTimeoutMs,
+    (progress) => nowMs - progress.lastReceivedAtMs < electionTimeoutMs,
   );
-  return hasQuorum(context, state, heard)
+  return hasQuorum(context, state, reachable)
     ? createReduction(state)
     : startFollowing(context, state, { term, leaderId: undefined });
 }
 
-/** Reports the replicas that have been silent for too long. */
+/** Reports replicas that have not answered for `silentAfterMs`. */
 export function reportSilence(
   context: StepContext,
   state: ConsensusState,
@@ -74,7 +74,7 @@
     return step;
   }
   for (const [replicaId, progress] of state.role.progress) {
-    const silentForMs = context.nowMs - progress.heardAtMs;
+    const silentForMs = context.nowMs - progress.lastReceivedAtMs;
     if (progress.isSilent || silentForMs < state.options.silentAfterMs) {
       continue;
     }
--- a/src/engine/consensus/common/replicated_log.ts
+++ b/src/engine/consensus/common/replicated_log.ts
@@ -1,16 +1,16 @@
-/** The log in memory: the entries that no snapshot has replaced. */
+/** Operations on the in-memory log: entries not replaced by a snapshot. */
 import type { LogEnd } from "./consensus_rules.ts";
 import type { ReplicatedLog } from "./consensus_types.ts";
 import type { LogEntry } from "./log_types.ts";
 
-/** Bounds of one batch. */
+/** Limits of one batch. */
 export interface BatchLimits {
   readonly maxEntries: number;
-  /** One entry always fits. */
+  /** Total payload size; the first entry is sent even if it exceeds this. */
   readonly maxBytes: number;
 }
 
-/** Locates the last entry. */
+/** Returns index and term of the last entry. */
 export function locateLogEnd(log: ReplicatedLog): LogEnd {
   const last = log.entries.at(-1);
   return {
@@ -19,7 +19,7 @@
   };
 }
 
-/** Looks up the term at `index`; undefined outside of the log. */
+/** Returns the term at `index`; undefined outside the log. */
 export function lookupTerm(
   log: ReplicatedLog,
   index: number,
@@ -29,7 +29,7 @@
     : log.entries[index - log.baseIndex - 1]?.term;
 }
 
-/** Selects the entries after `after`, up to `upTo` included. */
+/** Returns the entries after `after`, up to and including `upTo`. */
 export function selectEntries(
   log: ReplicatedLog,
   after: number,
@@ -38,7 +38,7 @@
   return log.entries.slice(after - log.baseIndex, upTo - log.baseIndex);
 }
 
-/** Selects the entries after `after` that fit one batch. */
+/** Returns the entries after `after` that fit one batch. */
 export function selectBatch(
   log: ReplicatedLog,
   after: number,
@@ -53,25 +53,25 @@
   return end < 0 ? entries : entries.slice(0, end);
 }
 
-/** Finds the last entry of `term` at or before `limit`; undefined for none. */
+/** Finds the last entry of `term` at or before `limit`; undefined if none. */
 export function findLastOfTerm(
   log: ReplicatedLog,
   term: number,
   limit: number,
 ): number | undefined {
   for (let index = limit; index >= log.baseIndex; index--) {
-    const found = lookupTerm(log, index);
-    if (found === term) {
+    const termAtIndex = lookupTerm(log, index);
+    if (termAtIndex === term) {
       return index;
     }
-    if (found !== undefined && found < term) {
+    if (termAtIndex !== undefined && termAtIndex < term) {
       return undefined;
     }
   }
   return undefined;
 }
 
-/** Finds the first entry of the term that holds `index`. */
+/** Finds the first entry with the same term as the entry at `index`. */
 export function findFirstOfTerm(log: ReplicatedLog, index: number): number {
   const term = lookupTerm(log, index);
   let first = index;
@@ -83,7 +83,7 @@
   return first;
 }
 
-/** Drops the entries from `from` on, then appends. */
+/** Removes the entries from `from` on, then appends `entries`. */
 export function appendToLog(
   log: ReplicatedLog,
   entries: readonly LogEntry[],
@@ -93,7 +93,7 @@
   return { ...log, entries: [...kept, ...entries] };
 }
 
-/** Drops the entries up to `index`, which then is the base. */
+/** Removes the entries up to and including `index`, the new base index. */
 export function truncateHead(log: ReplicatedLog, index: number): ReplicatedLog {
   const baseTerm = lookupTerm(log, index);
   if (index <= log.baseIndex || baseTerm === undefined) {
--- a/src/engine/consensus/common/replication.ts
+++ b/src/engine/consensus/common/replication.ts
@@ -23,7 +23,7 @@
 } from "./replicated_log.ts";
 import { sendChunk } from "./snapshot_transfer.ts";
 
-/** Starts a heartbeat round: every replica gets a message. */
+/** Starts a heartbeat round: sends an append or a chunk to every peer. */
 export function sendHeartbeats(
   context: StepContext,
   state: ConsensusState,
@@ -33,8 +33,8 @@
     return createReduction(state);
   }
   const round = role.round + 1;
-  const heartbeatAtMs = context.nowMs;
-  const next = { ...state, role: { ...role, round, heartbeatAtMs } };
+  const lastHeartbeatAtMs = context.nowMs;
+  const next = { ...state, role: { ...role, round, lastHeartbeatAtMs } };
   const step = [...role.progress.keys()].reduce(
     (sent, id) => chainReduction(sent, (s) => sendEntries(s, id)),
     createReduction(next) as ConsensusStep,
@@ -42,7 +42,7 @@
   return chainReduction(step, (s) => settleReads(context, s));
 }
 
-/** Sends new entries to the replicas that keep up. */
+/** Sends new entries to the replicas whose matching index is known. */
 export function sendNewEntries(
   _context: StepContext,
   state: ConsensusState,
@@ -51,12 +51,12 @@
     return createReduction(state);
   }
   return [...state.role.progress.keys()].reduce(
-    (sent, id) => chainReduction(sent, (s) => sendMissing(s, id)),
+    (sent, id) => chainReduction(sent, (s) => sendPendingEntries(s, id)),
     createReduction(state) as ConsensusStep,
   );
 }
 
-/** Takes a replica's answer to an append. */
+/** Receives a replica's response to an append request. */
 export function receiveAppendResponse(
   context: StepContext,
   state: ConsensusState,
@@ -69,11 +69,11 @@
     return createReduction(state);
   }
   return message.isAccepted
-    ? acceptMatch(context, state, response)
-    : restoreMatch(state, role, response);
+    ? handleAcceptedAppend(context, state, response)
+    : handleRejectedAppend(state, role, response);
 }
 
-function acceptMatch(
+function handleAcceptedAppend(
   context: StepContext,
   state: ConsensusState,
   response: { readonly from: string; readonly message: AppendResponse },
@@ -84,7 +84,7 @@
     before !== undefined && !before.isProbing &&
     before.matchIndex >= message.matchIndex
   ) {
-    return sendMissing(state, from);
+    return sendPendingEntries(state, from);
   }
   const next = updateProgress(state, from, (progress) => {
     const matchIndex = Math.max(progress.matchIndex, message.matchIndex);
@@ -93,11 +93,11 @@
   });
   return chainReduction(
     advanceCommit(context, next),
-    (s) => sendMissing(s, from),
+    (s) => sendPendingEntries(s, from),
   );
 }
 
-function restoreMatch(
+function handleRejectedAppend(
   state: ConsensusState,
   role: LeaderRole,
   response: { readonly from: string; readonly message: AppendResponse },
@@ -108,8 +108,10 @@
   const lastOfTerm = conflictTerm === undefined
     ? undefined
     : findLastOfTerm(state.log, conflictTerm, before.nextIndex - 2);
-  const wanted = lastOfTerm === undefined ? conflictIndex : lastOfTerm + 1;
-  const nextIndex = Math.max(before.matchIndex + 1, wanted);
+  const requestedIndex = lastOfTerm === undefined
+    ? conflictIndex
+    : lastOfTerm + 1;
+  const nextIndex = Math.max(before.matchIndex + 1, requestedIndex);
   if (nextIndex >= before.nextIndex) {
     return createReduction(state);
   }
@@ -121,16 +123,19 @@
   return sendEntries(next, from);
 }
 
-/** Sends what a replica that keeps up lacks, within the bounds. */
-function sendMissing(state: ConsensusState, replicaId: string): ConsensusStep {
+/** Sends the entries that a replica lacks, up to the in-flight limit. */
+function sendPendingEntries(
+  state: ConsensusState,
+  replicaId: string,
+): ConsensusStep {
   let step: ConsensusStep = createReduction(state);
-  while (isMissing(step.state, replicaId)) {
+  while (hasEntriesToSend(step.state, replicaId)) {
     step = chainReduction(step, (s) => sendEntries(s, replicaId));
   }
   return step;
 }
 
-function isMissing(state: ConsensusState, replicaId: string): boolean {
+function hasEntriesToSend(state: ConsensusState, replicaId: string): boolean {
   const progress = lookupProgress(state, replicaId);
   if (progress === undefined || progress.isProbing) {
     return false;
@@ -149,7 +154,7 @@
   }
   const previousIndex = progress.nextIndex - 1;
   const previousTerm = lookupTerm(state.log, previousIndex);
-  // A replica without an entry may lack the founding snapshot too.
+  // A replica without any entry may also lack the bootstrap snapshot.
   const isFirst = previousIndex === 0 && progress.isProbing;
   if (previousTerm === undefined || isFirst) {
     return sendChunk(state, replicaId);
--- a/src/engine/consensus/common/snapshot_transfer.ts
+++ b/src/engine/consensus/common/snapshot_transfer.ts
@@ -1,4 +1,7 @@
-/** Sends snapshots in pieces to replicas that the log no longer reaches. */
+/**
+ * Snapshot transfer in chunks, to replicas that lack entries no longer in the
+ * log.
+ */
 import {
   appendEffects,
   chainReduction,
@@ -21,13 +24,13 @@
 import { updateProgress } from "./progress.ts";
 import { lookupTerm, truncateHead } from "./replicated_log.ts";
 
-/** A piece and who sent it. */
+/** A snapshot chunk and its sender. */
 export interface ReceivedChunk {
   readonly from: string;
   readonly message: SnapshotChunk;
 }
 
-/** Sends the next piece. */
+/** Sends the next chunk of the current snapshot. */
 export function sendChunk(
   state: ConsensusState,
   replicaId: string,
@@ -63,7 +66,7 @@
   });
 }
 
-/** Takes a replica's answer to a piece; sends the next where it moved on. */
+/** Receives the response to a chunk; sends the next if the offset advanced. */
 export function receiveChunkResponse(
   state: ConsensusState,
   from: string,
@@ -81,13 +84,14 @@
     ...p,
     snapshotOffsetBytes,
   }));
-  // A repeated answer sends nothing, or every copy would be answered.
+  // A duplicate response sends nothing; otherwise each copy would cause a
+  // chunk.
   return snapshotOffsetBytes > progress.snapshotOffsetBytes
     ? sendChunk(next, from)
     : createReduction(next);
 }
 
-/** Takes a piece; installs the snapshot with the last one. */
+/** Accepts a chunk; installs the snapshot once the last one has arrived. */
 export function acceptChunk(
   context: StepContext,
   state: ConsensusState,
@@ -95,13 +99,17 @@
 ): ConsensusStep {
   const { from, message } = chunk;
   if (message.term < state.term) {
-    return answerChunk(context, state, { from, message, nextOffsetBytes: 0 });
+    return sendChunkResponse(context, state, {
+      from,
+      message,
+      nextOffsetBytes: 0,
+    });
   }
   return chainReduction(
     acceptLeader(context, state, chunk),
     (s) =>
       s.snapshot !== undefined && message.lastIndex <= s.commitIndex
-        ? answerInstalled(context, s, chunk)
+        ? sendInstalledResponse(context, s, chunk)
         : addChunk(context, s, chunk),
   );
 }
@@ -112,25 +120,29 @@
   chunk: ReceivedChunk,
 ): ConsensusStep {
   const { from, message } = chunk;
-  const before = selectIncoming(state, message);
+  const before = getIncomingSnapshot(state, message);
   if (message.offsetBytes !== before.receivedBytes) {
     const nextOffsetBytes = before.receivedBytes;
-    return answerChunk(context, state, { from, message, nextOffsetBytes });
+    return sendChunkResponse(context, state, {
+      from,
+      message,
+      nextOffsetBytes,
+    });
   }
   const receivedBytes = before.receivedBytes + message.payload.length;
   const chunks = [...before.chunks, message.payload];
-  const incoming = { ...before, receivedBytes, chunks };
+  const incomingSnapshot = { ...before, receivedBytes, chunks };
   if (receivedBytes < message.totalBytes) {
-    const next = { ...state, incoming };
+    const next = { ...state, incomingSnapshot };
     const nextOffsetBytes = receivedBytes;
-    return answerChunk(context, next, { from, message, nextOffsetBytes });
+    return sendChunkResponse(context, next, { from, message, nextOffsetBytes });
   }
   const { lastIndex, lastTerm, configuration } = message;
-  const payload = mergeChunks(incoming);
+  const payload = mergeChunks(incomingSnapshot);
   const snapshot = { lastIndex, lastTerm, configuration, payload };
   return chainReduction(
     installSnapshot(state, snapshot),
-    (s) => answerInstalled(context, s, chunk),
+    (s) => sendInstalledResponse(context, s, chunk),
   );
 }
 
@@ -139,8 +151,8 @@
   snapshot: Snapshot,
 ): ConsensusStep {
   const { lastIndex, lastTerm } = snapshot;
-  const isKept = lookupTerm(state.log, lastIndex) === lastTerm;
-  const log = isKept ? truncateHead(state.log, lastIndex) : {
+  const isLogRetained = lookupTerm(state.log, lastIndex) === lastTerm;
+  const log = isLogRetained ? truncateHead(state.log, lastIndex) : {
     baseIndex: lastIndex,
     baseTerm: lastTerm,
     entries: [],
@@ -150,22 +162,24 @@
     log,
     ...findConfiguration(log, snapshot),
     commitIndex: lastIndex,
-    incoming: undefined,
+    incomingSnapshot: undefined,
   };
-  const step = writeSnapshot(next, snapshot, !isKept);
+  const step = writeSnapshot(next, snapshot, !isLogRetained);
   return appendEffects(step, { type: "InstallSnapshot", snapshot });
 }
 
-function selectIncoming(
+function getIncomingSnapshot(
   state: ConsensusState,
   message: SnapshotChunk,
 ): IncomingSnapshot {
-  const { incoming } = state;
+  const { incomingSnapshot } = state;
   const { term, lastIndex } = message;
-  // Replicas may encode one state machine differently: one sender, one term.
-  const isSame = incoming?.term === term && incoming.lastIndex === lastIndex;
-  return incoming !== undefined && isSame
-    ? incoming
+  // Replicas may encode the same state machine differently, so all chunks must
+  // come from one sender, which the term identifies.
+  const isSame = incomingSnapshot?.term === term &&
+    incomingSnapshot.lastIndex === lastIndex;
+  return incomingSnapshot !== undefined && isSame
+    ? incomingSnapshot
     : { term, lastIndex, receivedBytes: 0, chunks: [] };
 }
 
@@ -179,7 +193,7 @@
   return payload;
 }
 
-function answerChunk(
+function sendChunkResponse(
   context: StepContext,
   state: ConsensusState,
   answer: ReceivedChunk & { readonly nextOffsetBytes: number },
@@ -198,7 +212,7 @@
   });
 }
 
-function answerInstalled(
+function sendInstalledResponse(
   context: StepContext,
   state: ConsensusState,
   chunk: ReceivedChunk,
--- a/src/engine/consensus/common/term.ts
+++ b/src/engine/consensus/common/term.ts
@@ -1,4 +1,4 @@
-/** Moves between terms, and out of leadership. */
+/** Term changes, role changes and the election timeout. */
 import { hashText } from "../../../base/common/hash.ts";
 import {
   appendEffects,
@@ -14,13 +14,15 @@
 } from "./consensus_types.ts";
 import { writeHardState } from "./persistence.ts";
 
-/** Whom a replica follows, and in which term. */
+/** The leader that a replica follows (undefined while unknown) and its term. */
 export interface Following {
   readonly term: number;
   readonly leaderId: string | undefined;
 }
 
-/** Follows a leader, or none, in a term that is not older than its own. */
+/**
+ * Becomes a follower in `term`, which must not be older than the current one.
+ */
 export function startFollowing(
   context: StepContext,
   state: ConsensusState,
@@ -40,7 +42,10 @@
     : step;
 }
 
-/** Changes the role; says so where the leader changed. */
+/**
+ * Changes the role. Emits LeaderChanged if the known leader changed, and fails
+ * pending proposals and reads if this replica was the leader.
+ */
 export function updateRole(
   state: ConsensusState,
   role: Role,
@@ -54,15 +59,15 @@
       ? failPending({ ...state, role: before }, { type: "OutcomeUnknown" })
       : [],
   );
-  const isKnown = leaderId === findLeader({ ...state, role: before });
-  return isKnown ? step : appendEffects(step, {
+  const isLeaderUnchanged = leaderId === findLeader({ ...state, role: before });
+  return isLeaderUnchanged ? step : appendEffects(step, {
     type: "LeaderChanged",
     term: state.term,
     leaderId,
   });
 }
 
-/** Finds the leader that this replica knows of. */
+/** Returns the leader of the current term; undefined while unknown. */
 export function findLeader(state: ConsensusState): string | undefined {
   switch (state.role.type) {
     case "Leader":
@@ -75,7 +80,10 @@
   }
 }
 
-/** Starts the election timeout anew; drawn by a hash, so that it replays. */
+/**
+ * Restarts the election timeout. The random part is a hash of replica, term and
+ * attempt, so that replaying the same events gives the same timeout.
+ */
 export function resetElectionTimeout(
   context: StepContext,
   state: ConsensusState,
@@ -83,23 +91,29 @@
   const electionAttempts = state.electionAttempts + 1;
   const timeoutMs = computeElectionTimeoutMs(state, electionAttempts);
   const key = `${state.replicaId}:${state.term}:${electionAttempts}`;
-  const electionWaitMs = timeoutMs + hashText(key) % timeoutMs;
-  const electionDeadlineMs = context.nowMs + electionWaitMs;
-  return { ...state, electionAttempts, electionWaitMs, electionDeadlineMs };
+  const drawnElectionTimeoutMs = timeoutMs + hashText(key) % timeoutMs;
+  const electionDeadlineMs = context.nowMs + drawnElectionTimeoutMs;
+  return {
+    ...state,
+    electionAttempts,
+    drawnElectionTimeoutMs,
+    electionDeadlineMs,
+  };
 }
 
 /**
- * A replica that has heard no leader since its start waits little: after a
- * fault that ended all replicas nobody serves before the first election, and
- * where there is a leader the others refuse the pre-vote. Attempts that fail
- * double the wait, so that it outgrows any round trip.
+ * Computes the lower bound of the election timeout. A replica that has received
+ * no leader message since its start uses a short one: after a crash of all
+ * replicas nothing is served before the first election, and if there is a
+ * leader, the other voters refuse the pre-vote. Each further attempt doubles
+ * the bound, so that it comes to exceed the round-trip time.
  */
 function computeElectionTimeoutMs(
-  { options, leaderHeardAtMs, role }: ConsensusState,
+  { options, lastLeaderMessageAtMs, role }: ConsensusState,
   attempts: number,
 ): number {
   const { electionTimeoutMs, firstElectionTimeoutMs } = options;
-  const isFirst = leaderHeardAtMs === undefined && role.type !== "Leader";
+  const isFirst = lastLeaderMessageAtMs === undefined && role.type !== "Leader";
   return isFirst
     ? Math.min(electionTimeoutMs, firstElectionTimeoutMs * 2 ** (attempts - 1))
     : electionTimeoutMs;
--- a/src/engine/consensus/test/consensus_mutation_test.ts
+++ b/src/engine/consensus/test/consensus_mutation_test.ts
@@ -1,4 +1,6 @@
-/** Each safety rule taken out must break a promise that the tests check. */
+/**
+ * Mutation test: without any one safety rule, the checks must find a violation.
+ */
 import { assert } from "chai";
 import fc from "fast-check";
 import { buildConsensusReducer } from "../common/consensus_reducer.ts";
@@ -7,21 +9,23 @@
 import type { ConsensusRules } from "../common/consensus_rules.ts";
 import { runFigureEight } from "./figure_eight.ts";
 import { createSchedules, runSchedule } from "./fault_schedule.ts";
-import { Violation } from "./safety_checker.ts";
+import { SafetyViolation } from "./safety_checker.ts";
 
-/** A rule taken out. */
+/** A disabled rule. */
 interface Mutation {
   readonly name: string;
   readonly rules: Partial<ConsensusRules>;
-  /** Random faults where left out. */
+  /** How to run a schedule; random faults by default. */
   readonly run?: (draws: Uint32Array, reduce: ConsensusReducer) => void;
 }
 
 const SEED = 7;
-/** Within these a rule taken out must show. */
+/** A disabled rule must cause a violation within this many schedules. */
 const MAX_SCHEDULES = 3_000;
 const MAX_STEPS = 110;
-/** The first number picks the replica set; this one has a learner. */
+/**
+ * First number of a schedule, which selects the configuration with a learner.
+ */
 const LEARNER_CONFIGURATION = 1;
 
 const MUTATIONS: readonly Mutation[] = [
@@ -36,7 +40,7 @@
   {
     name: "commits an entry of an older term by counting",
     rules: { canCommitByCount: () => true },
-    // Too rare a course for random faults: none in 16,000 schedules.
+    // Too rare for random faults: did not occur in 16,000 schedules.
     run: (_draws, reduce) => runFigureEight(reduce),
   },
   {
@@ -92,8 +96,8 @@
         },
       );
       const { failed, numRuns, errorInstance } = details;
-      assert.isTrue(failed, `no broken promise in ${numRuns} schedules`);
-      assert.instanceOf(errorInstance, Violation);
+      assert.isTrue(failed, `no violation in ${numRuns} schedules`);
+      assert.instanceOf(errorInstance, SafetyViolation);
       this.test!.title += `: schedule ${numRuns}, ${errorInstance}`;
     });
   }
--- a/src/engine/consensus/test/consensus_property_test.ts
+++ b/src/engine/consensus/test/consensus_property_test.ts
@@ -1,4 +1,4 @@
-/** The promises of consensus, over random schedules of faults. */
+/** Property test: safety and progress over random fault schedules. */
 import fc from "fast-check";
 import { reduceConsensus } from "../common/consensus_reducer.ts";
 import { createSchedules, runSchedule } from "./fault_schedule.ts";
@@ -20,7 +20,7 @@
     });
   }
 
-  it("keeps its promises in the course of figure 8", () => {
+  it("keeps its promises in the scenario of figure 8", () => {
     runFigureEight(reduceConsensus);
   });
 });
--- a/src/engine/consensus/test/consensus_reducer_test.ts
+++ b/src/engine/consensus/test/consensus_reducer_test.ts
@@ -1,4 +1,6 @@
-/** Single parts of the reducer, one course of events each. */
+/**
+ * Tests of single features of the consensus reducer, each by a fixed scenario.
+ */
 import { assert } from "chai";
 import type { ConsensusEffect } from "../common/consensus_events.ts";
 import { reduceConsensus } from "../common/consensus_reducer.ts";
@@ -7,8 +9,8 @@
 
 const VOTERS = ["a", "b", "c"];
 
-/** Creates a replica set that `a` leads. */
-function createLed(
+/** Creates a replica set with `a` as leader. */
+function createSetWithLeader(
   learners: readonly string[] = [],
   readGatherMs = 0,
 ): ReplicaSet {
@@ -34,12 +36,17 @@
   }
 }
 
-function listTold(set: ReplicaSet, id: string): readonly ConsensusEffect[] {
-  return set.told.filter((told) => told.id === id).map(({ effect }) => effect);
+function listReportedEffects(
+  set: ReplicaSet,
+  id: string,
+): readonly ConsensusEffect[] {
+  return set.reportedEffects.filter((reported) => reported.id === id).map((
+    { effect },
+  ) => effect);
 }
 
 function listFailures(set: ReplicaSet): readonly string[] {
-  return set.told.flatMap(({ effect }) =>
+  return set.reportedEffects.flatMap(({ effect }) =>
     effect.type === "ProposalFailed" || effect.type === "ReadFailed"
       ? [`${effect.requestId} ${effect.failure.type}`]
       : []
@@ -47,8 +54,8 @@
 }
 
 describe("consensus reducer", () => {
-  it("holds a vote back until it is synced", () => {
-    const set = createLed();
+  it("sends a vote only once it is synced", () => {
+    const set = createSetWithLeader();
     set.nowMs += TEST_OPTIONS.electionTimeoutMs;
     const message = {
       type: "VoteRequest",
@@ -69,18 +76,22 @@
     });
   });
 
-  it("names a silent replica, and says when it is heard again", () => {
-    const set = createLed();
+  it("reports a silent replica, and reports when it answers again", () => {
+    const set = createSetWithLeader();
     runRounds(set, 15, "c");
-    const silent = listTold(set, "a").filter((e) => e.type === "ReplicaSilent");
+    const silent = listReportedEffects(set, "a").filter((e) =>
+      e.type === "ReplicaSilent"
+    );
     assert.deepEqual(silent.map((e) => e.replicaId), ["c"]);
     runRounds(set, 2);
-    const heard = listTold(set, "a").filter((e) => e.type === "ReplicaHeard");
-    assert.deepEqual(heard.map((e) => e.replicaId), ["c"]);
+    const answering = listReportedEffects(set, "a").filter((e) =>
+      e.type === "ReplicaHeard"
+    );
+    assert.deepEqual(answering.map((e) => e.replicaId), ["c"]);
   });
 
-  it("steps down without a quorum, and says that the outcome is unknown", () => {
-    const set = createLed();
+  it("steps down without a quorum, and reports the outcome as unknown", () => {
+    const set = createSetWithLeader();
     const requestId = set.startProposal("a");
     set.packets = [];
     for (let round = 0; round < 8; round++) {
@@ -91,8 +102,8 @@
     assert.deepEqual(listFailures(set), [`${requestId} OutcomeUnknown`]);
   });
 
-  it("doesn't let a replica that was cut off disturb the leader", () => {
-    const set = createLed();
+  it("doesn't let a replica that was isolated disturb the leader", () => {
+    const set = createSetWithLeader();
     runRounds(set, 40, "c");
     const { term } = set.replicas.get("a")!.state;
     runRounds(set, 5);
@@ -107,7 +118,7 @@
       maxBatchEntries: 3,
       firstElectionTimeoutMs: TEST_OPTIONS.firstElectionTimeoutMs,
     });
-    VOTERS.forEach((id) => set.startAgain(id, 0));
+    VOTERS.forEach((id) => set.restart(id, 0));
     set.packets = [];
     const startMs = set.nowMs;
     while (set.listLeaders().length === 0) {
@@ -117,18 +128,19 @@
   });
 
   it("doesn't let a replica that was started again depose a leader", () => {
-    const set = createLed();
+    const set = createSetWithLeader();
     const { term } = set.replicas.get("a")!.state;
-    set.startAgain("c", 0);
-    // Cut from the leader only: the other voter hears it and refuses.
-    set.cuts.add("a>c");
+    set.restart("c", 0);
+    // Only its link from the leader is blocked: the other voter still receives
+    // the leader's messages, so it refuses the pre-vote.
+    set.blockedLinks.add("a>c");
     runRounds(set, 40);
     assert.deepEqual(set.listLeaders(), ["a"]);
     assert.equal(set.replicas.get("a")!.state.term, term);
   });
 
-  it("lets reads that come by turns share a round", () => {
-    const set = createLed([], TEST_OPTIONS.readGatherMs);
+  it("combines reads that arrive one after the other in one heartbeat round", () => {
+    const set = createSetWithLeader([], TEST_OPTIONS.readGatherMs);
     const countRounds = () => {
       const { role } = set.replicas.get("a")!.state;
       return role.type === "Leader" ? role.round : -1;
@@ -143,23 +155,25 @@
     }
     assert.isAtMost(countRounds() - before, 2);
     runRounds(set, 2);
-    const ready = listTold(set, "a").filter((e) => e.type === "ReadReady");
+    const ready = listReportedEffects(set, "a").filter((e) =>
+      e.type === "ReadReady"
+    );
     assert.deepEqual(ready.map((e) => e.requestId), requestIds);
   });
 
-  it("hands leadership over on a planned stop", () => {
-    const set = createLed();
+  it("transfers leadership before a planned stop", () => {
+    const set = createSetWithLeader();
     const targetId = "b";
     set.push("a", { type: "LeadershipTransferRequested", targetId });
     const refused = set.startProposal("a");
     assert.deepEqual(listFailures(set), [`${refused} Transferring`]);
-    set.packets.forEach((packet) => set.pass(packet));
+    set.packets.forEach((packet) => set.deliver(packet));
     runRounds(set, 2);
     assert.deepEqual(set.listLeaders(), ["b"]);
   });
 
-  it("brings an empty replica up by a snapshot in pieces, then counts it", () => {
-    const set = createLed();
+  it("sends an empty replica a snapshot in chunks, then promotes it to voter", () => {
+    const set = createSetWithLeader();
     for (let count = 0; count < 30; count++) {
       set.startProposal("a");
       runRounds(set, 1);
@@ -183,27 +197,31 @@
     });
   });
 
-  it("refuses proposals beyond its bounds, and away from the leader", () => {
-    const set = createLed();
+  it("refuses proposals beyond its limits, and at a replica that is not the leader", () => {
+    const set = createSetWithLeader();
     for (let count = 0; count < TEST_OPTIONS.maxPendingProposals; count++) {
       set.startProposal("a");
     }
     const excess = set.startProposal("a");
-    const misplaced = set.startProposal("b");
+    const atFollower = set.startProposal("b");
     assert.deepEqual(listFailures(set), [
       `${excess} Overloaded`,
-      `${misplaced} NotLeader`,
+      `${atFollower} NotLeader`,
     ]);
   });
 
   it("answers reads at a learner once the leader confirmed the index", () => {
-    const set = createLed(["x"]);
+    const set = createSetWithLeader(["x"]);
     set.startProposal("a");
     runRounds(set, 2);
     const requestId = set.read("x");
-    assert.isEmpty(listTold(set, "x").filter((e) => e.type === "ReadReady"));
+    assert.isEmpty(
+      listReportedEffects(set, "x").filter((e) => e.type === "ReadReady"),
+    );
     runRounds(set, 2);
-    const ready = listTold(set, "x").filter((e) => e.type === "ReadReady");
+    const ready = listReportedEffects(set, "x").filter((e) =>
+      e.type === "ReadReady"
+    );
     assert.deepEqual(ready, [{ type: "ReadReady", requestId, readIndex: 2 }]);
   });
 });
--- a/src/engine/consensus/test/fake_disk.ts
+++ b/src/engine/consensus/test/fake_disk.ts
@@ -1,14 +1,14 @@
-/** What a disk holds after a write, as storage promises it. */
+/** Contents of a disk after a write, as storage guarantees them. */
 import type { ConsensusEffect } from "../common/consensus_events.ts";
 import type { Recovered } from "../common/log_types.ts";
 
-/** An effect that writes. */
+/** An effect that writes to the disk. */
 export type DiskWrite = Extract<
   ConsensusEffect,
   { type: "PersistLog" | "PersistSnapshot" }
 >;
 
-/** Applies one write, whole. */
+/** Applies one write atomically. */
 export function applyWrite(disk: Recovered, write: DiskWrite): Recovered {
   if (write.type === "PersistSnapshot") {
     const { snapshot, discardsLog } = write;
--- a/src/engine/consensus/test/fault_schedule.ts
+++ b/src/engine/consensus/test/fault_schedule.ts
@@ -1,10 +1,10 @@
-/** Runs a schedule of faults, drawn as numbers, over a replica set. */
+/** Runs fault schedules, encoded as random numbers, on a replica set. */
 import fc from "fast-check";
 import type { ConsensusReducer } from "../common/consensus_reducer.ts";
 import type { Configuration } from "../common/log_types.ts";
 import { EMPTY_DISK } from "../common/recovery.ts";
 import { ReplicaSet, TEST_OPTIONS } from "./replica_set.ts";
-import { Violation } from "./safety_checker.ts";
+import { SafetyViolation } from "./safety_checker.ts";
 
 const CONFIGURATIONS: readonly Configuration[] = [
   { voters: ["a", "b", "c"], learners: [] },
@@ -12,54 +12,57 @@
   { voters: ["a", "b", "c", "d", "e"], learners: [] },
 ];
 const NEW_ID = "n";
-const HEALING_ROUNDS = 150;
-const MAX_GENERATIONS = 40;
+const MAX_RECOVERY_ROUNDS = 150;
+const MAX_DELIVERY_GENERATIONS = 40;
 
-/** A step's parameters, all from one drawn number. */
+/** The parameters of a step, all derived from one random number. */
 interface Draw {
-  /** The replica that the step is about. */
+  /** The replica that the step applies to. */
   readonly id: string;
   readonly otherId: string;
-  /** 16 bits. */
+  /** 16 random bits. */
   readonly bits: number;
 }
 
-interface Run {
+interface ScheduleRun {
   readonly set: ReplicaSet;
-  /** The replica whose disk was wiped. */
+  /** The replica whose disk was wiped; undefined if none. */
   wipedId: string | undefined;
-  /** Rounds within which a read is answered where nothing fails. */
+  /** Rounds within which a read is answered if there are no faults. */
   readonly readRounds: number;
 }
 
-type Fault = (run: Run, draw: Draw) => void;
+type Fault = (run: ScheduleRun, draw: Draw) => void;
 
 const FAULTS: readonly (readonly [number, Fault])[] = [
   [8, runRound],
-  [5, passSome],
+  [5, deliverSome],
   [2, (run, draw) => run.set.sync(draw.id)],
   [4, startProposalAtLeader],
   [1, (run, draw) => void run.set.startProposal(draw.id)],
   [3, (run, draw) => void run.set.read(draw.id)],
   [2, readAtLeader],
-  [1, (run, { id, otherId }) => void run.set.cuts.add(`${id}>${otherId}`)],
-  [2, cutOff],
-  [2, (run) => run.set.cuts.clear()],
-  [2, (run, draw) => run.set.startAgain(draw.id, draw.bits % 4)],
+  [
+    1,
+    (run, { id, otherId }) => void run.set.blockedLinks.add(`${id}>${otherId}`),
+  ],
+  [2, isolateReplica],
+  [2, (run) => run.set.blockedLinks.clear()],
+  [2, (run, draw) => run.set.restart(draw.id, draw.bits % 4)],
   [4, startCampaign],
   [1, (run, draw) => void run.set.packets.splice(draw.bits % 7, 3)],
   [2, copyPackets],
   [1, (run, draw) => moveClock(run, draw, -(draw.bits % 500))],
-  [2, stopOrResume],
+  [2, pauseOrResume],
   [4, updateReplicas],
   [1, requestTransfer],
   [1, clearDisk],
 ];
-const WHEEL: readonly Fault[] = FAULTS.flatMap(([weight, fault]) =>
+const WEIGHTED_FAULTS: readonly Fault[] = FAULTS.flatMap(([weight, fault]) =>
   Array.from({ length: weight }, () => fault)
 );
 
-/** Runs a schedule, and heals after some; throws where a promise is broken. */
+/** Runs a schedule; throws on a violation. Checks recovery after some. */
 export function runSchedule(
   draws: ArrayLike<number>,
   reduce: ConsensusReducer,
@@ -68,14 +71,14 @@
   for (const number of Array.from(draws)) {
     const mixed = Math.imul(number, 0x9e3779b1) >>> 0;
     const ids = [...run.set.replicas.keys()];
-    const fault = WHEEL[(mixed >>> 24) % WHEEL.length]!;
+    const fault = WEIGHTED_FAULTS[(mixed >>> 24) % WEIGHTED_FAULTS.length]!;
     fault(run, {
       id: ids[(mixed >>> 4) % ids.length]!,
       otherId: ids[(mixed >>> 8) % ids.length]!,
       bits: (mixed >>> 8) & 0xffff,
     });
   }
-  // The costly half; one schedule in five is enough to show progress.
+  // The expensive part; one schedule in five is enough to check progress.
   if ((draws[0] ?? 0) % 5 === 0) {
     checkRecovery(run);
   }
@@ -86,52 +89,52 @@
   return fc.uint32Array({ minLength: 40, maxLength });
 }
 
-function createRun(first: number, reduce: ConsensusReducer): Run {
+function createRun(first: number, reduce: ConsensusReducer): ScheduleRun {
   const configuration = CONFIGURATIONS[first % CONFIGURATIONS.length]!;
   const maxBatchEntries = 1 + (first >>> 4) % 3;
-  const isFirstShort = ((first >>> 9) & 1) === 1;
+  const isFirstTimeoutShort = ((first >>> 9) & 1) === 1;
   const areReadsGathered = ((first >>> 10) & 1) === 1;
   const { firstElectionTimeoutMs, readGatherMs } = TEST_OPTIONS;
   const set = new ReplicaSet({
     reduce,
     configuration,
     maxBatchEntries,
-    ...(isFirstShort ? { firstElectionTimeoutMs } : {}),
+    ...(isFirstTimeoutShort ? { firstElectionTimeoutMs } : {}),
     ...(areReadsGathered ? { readGatherMs } : {}),
   });
   const readRounds = areReadsGathered ? 2 : 1;
-  const run: Run = { set, wipedId: undefined, readRounds };
+  const run: ScheduleRun = { set, wipedId: undefined, readRounds };
   moveClock(run, { id: "a", otherId: "b", bits: 0 }, 200);
   runRounds(run, 1);
   return run;
 }
 
-function runRound(run: Run, draw: Draw): void {
+function runRound(run: ScheduleRun, draw: Draw): void {
   const { set } = run;
   set.nowMs += 10;
   let position = 0;
   for (const id of set.replicas.keys()) {
     set.push(id, { type: "Ticked" });
-    // A disk in four is slow in a round.
+    // One disk in four does not sync in this round.
     if (((draw.bits >> (2 * position)) & 3) !== 0) {
       set.sync(id);
     }
     position++;
   }
   for (const packet of takePackets(set)) {
-    set.pass(packet);
+    set.deliver(packet);
   }
 }
 
-function runRounds(run: Run, rounds: number): void {
+function runRounds(run: ScheduleRun, rounds: number): void {
   const { set } = run;
   for (let round = 0; round < rounds; round++) {
     set.nowMs += 10;
     set.replicas.forEach((_, id) => set.push(id, { type: "Ticked" }));
     let generation = 0;
-    while (isBusy(set) && generation < MAX_GENERATIONS) {
+    while (isBusy(set) && generation < MAX_DELIVERY_GENERATIONS) {
       set.replicas.forEach((_, id) => set.sync(id));
-      takePackets(set).forEach((packet) => set.pass(packet));
+      takePackets(set).forEach((packet) => set.deliver(packet));
       generation++;
     }
   }
@@ -148,54 +151,56 @@
   return packets;
 }
 
-function passSome(run: Run, draw: Draw): void {
+function deliverSome(run: ScheduleRun, draw: Draw): void {
   const { set } = run;
   for (let count = draw.bits % 5; count >= 0; count--) {
     const position = (draw.bits >> count) % (set.packets.length || 1);
-    set.packets.splice(position, 1).forEach((packet) => set.pass(packet));
+    set.packets.splice(position, 1).forEach((packet) => set.deliver(packet));
   }
 }
 
-function copyPackets(run: Run, draw: Draw): void {
+function copyPackets(run: ScheduleRun, draw: Draw): void {
   const { set } = run;
   const from = draw.bits % (set.packets.length || 1);
   set.packets.push(...set.packets.slice(from, from + 4));
 }
 
-function startProposalAtLeader(run: Run, draw: Draw): void {
+function startProposalAtLeader(run: ScheduleRun, draw: Draw): void {
   run.set.startProposal(pickLeader(run, draw));
 }
 
-function readAtLeader(run: Run, draw: Draw): void {
+function readAtLeader(run: ScheduleRun, draw: Draw): void {
   run.set.read(pickLeader(run, draw));
 }
 
-function cutOff(run: Run, draw: Draw): void {
-  const lostId = draw.bits % 2 === 0 ? pickLeader(run, draw) : draw.id;
+function isolateReplica(run: ScheduleRun, draw: Draw): void {
+  const isolatedId = draw.bits % 2 === 0 ? pickLeader(run, draw) : draw.id;
   for (const id of run.set.replicas.keys()) {
-    run.set.cuts.add(`${id}>${lostId}`);
-    run.set.cuts.add(`${lostId}>${id}`);
+    run.set.blockedLinks.add(`${id}>${isolatedId}`);
+    run.set.blockedLinks.add(`${isolatedId}>${id}`);
   }
 }
 
-function moveClock(run: Run, draw: Draw, byMs: number): void {
+function moveClock(run: ScheduleRun, draw: Draw, byMs: number): void {
   const replica = run.set.replicas.get(draw.id)!;
   replica.clockOffsetMs += byMs;
   run.set.push(draw.id, { type: "Ticked" });
 }
 
-/** Jumps the clock past the election timeout. */
-function startCampaign(run: Run, draw: Draw): void {
+/** Advances a replica's clock past the election timeout. */
+function startCampaign(run: ScheduleRun, draw: Draw): void {
   const { set } = run;
   moveClock(run, draw, 100);
-  // The others have heard no leader for a while either.
+  // The leader is no longer active for the other replicas either.
   if (draw.bits % 2 === 0) {
     set.nowMs += 60;
   }
 }
 
-/** Pauses a leader; one that wakes up answers a read before its next tick. */
-function stopOrResume(run: Run, draw: Draw): void {
+/**
+ * Pauses a leader, or resumes one and has it serve a read before its next tick.
+ */
+function pauseOrResume(run: ScheduleRun, draw: Draw): void {
   const { set } = run;
   for (const [id, replica] of set.replicas) {
     if (replica.isPaused) {
@@ -208,13 +213,13 @@
   set.nowMs += draw.bits % 80;
 }
 
-/** Picks a leader; the drawn replica where there is none. */
-function pickLeader(run: Run, draw: Draw): string {
+/** Picks a leader; if there is none, the replica of the draw. */
+function pickLeader(run: ScheduleRun, draw: Draw): string {
   const leaders = run.set.listLeaders();
   return leaders[draw.bits % leaders.length] ?? draw.id;
 }
 
-function updateReplicas(run: Run, draw: Draw): void {
+function updateReplicas(run: ScheduleRun, draw: Draw): void {
   const { set } = run;
   if (!set.replicas.has(NEW_ID)) {
     return;
@@ -224,15 +229,15 @@
     .forEach((id) => set.updateReplicas(id, oldId, NEW_ID));
 }
 
-function requestTransfer(run: Run, draw: Draw): void {
+function requestTransfer(run: ScheduleRun, draw: Draw): void {
   run.set.push(draw.id, {
     type: "LeadershipTransferRequested",
     targetId: draw.bits % 2 === 0 ? undefined : draw.otherId,
   });
 }
 
-/** Wipes one voter's disk; it comes back under a new id, once. */
-function clearDisk(run: Run, draw: Draw): void {
+/** Wipes one replica's disk, at most once; it restarts with a new id. */
+function clearDisk(run: ScheduleRun, draw: Draw): void {
   const { set } = run;
   if (run.wipedId !== undefined) {
     return;
@@ -242,14 +247,14 @@
   set.start(NEW_ID, EMPTY_DISK);
 }
 
-/** Ends all faults; then a proposal and a read go through at each replica. */
-function checkRecovery(run: Run): void {
+/** Ends all faults; then a proposal and a read at each replica must succeed. */
+function checkRecovery(run: ScheduleRun): void {
   const { set } = run;
-  set.cuts.clear();
+  set.blockedLinks.clear();
   set.replicas.forEach((replica) => {
     replica.isPaused = false;
   });
-  for (let round = 0; round < HEALING_ROUNDS; round++) {
+  for (let round = 0; round < MAX_RECOVERY_ROUNDS; round++) {
     runRounds(run, 1);
     const [leader] = set.listLeaders();
     if (leader === undefined) {
@@ -267,12 +272,12 @@
       set.updateReplicas(leader, run.wipedId, NEW_ID);
     }
   }
-  throw new Violation("no progress after the faults ended");
+  throw new SafetyViolation("no progress after the faults ended");
 }
 
-function canServe(run: Run, leader: string): boolean {
+function canServe(run: ScheduleRun, leader: string): boolean {
   const { set } = run;
-  const since = set.told.length;
+  const since = set.reportedEffects.length;
   const requestId = set.startProposal(leader);
   runRounds(run, 2);
   const { voters, learners } = set.replicas.get(leader)!.state.configuration;
@@ -281,7 +286,7 @@
     ...[...voters, ...learners].map((id) => set.read(id)),
   ];
   runRounds(run, run.readRounds);
-  const done = set.told.slice(since).flatMap(({ effect }) =>
+  const done = set.reportedEffects.slice(since).flatMap(({ effect }) =>
     effect.type === "ReadReady" || effect.type === "ProposalCommitted"
       ? [effect.requestId]
       : []
--- a/src/engine/consensus/test/figure_eight.ts
+++ b/src/engine/consensus/test/figure_eight.ts
@@ -1,11 +1,14 @@
-/** The course of figure 8 of the Raft paper, step by step. */
+/** The scenario of figure 8 of the Raft paper, step by step. */
 import type { ConsensusReducer } from "../common/consensus_reducer.ts";
 import { locateLogEnd } from "../common/replicated_log.ts";
 import { ReplicaSet } from "./replica_set.ts";
 
 const MAX_EXCHANGES = 12;
 
-/** Runs it; throws where an old entry is committed by counting, then lost. */
+/**
+ * Runs the scenario; throws if an entry of an older term is committed by
+ * counting copies and then lost.
+ */
 export function runFigureEight(reduce: ConsensusReducer): void {
   const configuration = { voters: ["a", "b", "c", "d", "e"], learners: [] };
   const set = new ReplicaSet({ reduce, configuration, maxBatchEntries: 1 });
@@ -15,14 +18,14 @@
     ["a", "b", "c", "d", "e"],
     () => [...set.replicas.values()].every((r) => r.state.commitIndex === 1),
   );
-  // Entry 2 of the first term reaches b alone.
+  // Entry 2 of the first term reaches only b.
   set.startProposal("a");
   set.exchange(["a", "b"]);
-  // Another leader has an entry 2 of its own, and is lost before it sends it.
+  // Another leader appends its own entry 2, and is isolated before sending it.
   runElection(set, "e", ["c", "d", "e"]);
   set.packets = [];
   set.sync("e");
-  // The first leader is back and copies its old entry 2 to a majority.
+  // The first leader returns and replicates its old entry 2 to a majority.
   runElection(set, "a", ["a", "c", "d"]);
   exchangeUntil(
     set,
@@ -71,7 +74,7 @@
     }
     set.exchange(ids);
   }
-  throw new Error("The course was not reached");
+  throw new Error("The scenario did not reach the expected state");
 }
 
 function hasEntry(set: ReplicaSet, id: string, index: number): boolean {
--- a/src/engine/consensus/test/replica_set.ts
+++ b/src/engine/consensus/test/replica_set.ts
@@ -1,4 +1,4 @@
-/** A replica set of reducers over a fake network, fake disks, fake clocks. */
+/** A simulated replica set: reducers with fake network, disks and clocks. */
 import type {
   ConsensusEffect,
   ConsensusEvent,
@@ -18,9 +18,9 @@
 } from "../common/recovery.ts";
 import { applyWrite } from "./fake_disk.ts";
 import type { DiskWrite } from "./fake_disk.ts";
-import { SafetyChecker, Violation } from "./safety_checker.ts";
+import { SafetyChecker, SafetyViolation } from "./safety_checker.ts";
 
-/** Small bounds, so that each is met within a short schedule. */
+/** Small limits, so that a short schedule reaches each of them. */
 export const TEST_OPTIONS: ConsensusOptions = {
   heartbeatMs: 10,
   readGatherMs: 5,
@@ -39,14 +39,14 @@
   maxInFlightEntries: 6,
 };
 
-/** A message on its way. */
+/** A message in transit. */
 export interface Packet {
   readonly from: string;
   readonly to: string;
   readonly message: ConsensusMessage;
 }
 
-/** One replica with its disk, its clock and its state machine. */
+/** One replica with its disk, clock and state machine. */
 export interface FakeReplica {
   state: ConsensusState;
   disk: Recovered;
@@ -58,14 +58,14 @@
   isPaused: boolean;
 }
 
-/** What a replica set is made of. */
+/** Options of a simulated replica set. */
 export interface ReplicaSetOptions {
   readonly reduce: ConsensusReducer;
   readonly configuration: Configuration;
   readonly maxBatchEntries: number;
-  /** As all later ones, where it is left out. */
+  /** `electionTimeoutMs` of the test options by default. */
   readonly firstElectionTimeoutMs?: number;
-  /** None, where it is left out: each read may begin a round. */
+  /** 0 by default: each read may start a heartbeat round. */
   readonly readGatherMs?: number;
 }
 
@@ -73,19 +73,22 @@
 const decoder = new TextDecoder();
 const MAX_PACKETS = 300;
 
-/** Owns replicas, packets and cuts; every event passes the checker. */
+/** Runs replicas and their network; checks safety after every event. */
 export class ReplicaSet {
   readonly #reduce: ConsensusReducer;
   readonly #options: ConsensusOptions;
   readonly checker: SafetyChecker;
   readonly replicas = new Map<string, FakeReplica>();
-  /** Everything that the replicas told their owners, oldest first. */
-  readonly told: { readonly id: string; readonly effect: ConsensusEffect }[] =
-    [];
-  readonly cuts = new Set<string>();
+  /** Effects that the replicas reported to their owners, oldest first. */
+  readonly reportedEffects: {
+    readonly id: string;
+    readonly effect: ConsensusEffect;
+  }[] = [];
+  /** Blocked directions of the network, as `from>to`. */
+  readonly blockedLinks = new Set<string>();
   packets: Packet[] = [];
   nowMs = 1_000;
-  #requests = 0;
+  #requestCount = 0;
 
   constructor(options: ReplicaSetOptions) {
     this.#reduce = options.reduce;
@@ -132,10 +135,15 @@
     this.#perform(id, step.effects);
   }
 
-  /** Restarts a replica; `keep` of its unsynced writes had reached the disk. */
-  startAgain(id: string, keep: number): void {
+  /**
+   * Restarts a replica; its first `keptWrites` unsynced writes are on the disk.
+   */
+  restart(id: string, keptWrites: number): void {
     const replica = this.replicas.get(id)!;
-    const disk = replica.writes.slice(0, keep).reduce(applyWrite, replica.disk);
+    const disk = replica.writes.slice(0, keptWrites).reduce(
+      applyWrite,
+      replica.disk,
+    );
     this.start(id, disk, replica.clockOffsetMs);
   }
 
@@ -153,7 +161,7 @@
     this.#perform(id, step.effects);
   }
 
-  /** Syncs what a replica wrote. */
+  /** Syncs the writes of a replica. */
   sync(id: string): void {
     const replica = this.replicas.get(id);
     const last = replica?.writes.at(-1);
@@ -165,24 +173,26 @@
     this.push(id, { type: "PersistCompleted", persistId: last.persistId });
   }
 
-  /** Delivers a packet, unless the way is cut. */
-  pass({ from, to, message }: Packet): void {
-    if (!this.cuts.has(`${from}>${to}`)) {
+  /** Delivers a packet unless its link is blocked. */
+  deliver({ from, to, message }: Packet): void {
+    if (!this.blockedLinks.has(`${from}>${to}`)) {
       this.push(to, { type: "MessageReceived", from, message });
     }
   }
 
-  /** Delivers what goes between `ids`, once; drops all else. */
+  /** Delivers the packets between `ids` and drops all others. */
   exchange(ids: readonly string[]): void {
     ids.forEach((id) => this.sync(id));
     const { packets } = this;
     this.packets = [];
     packets.filter(({ from, to }) => ids.includes(from) && ids.includes(to))
-      .forEach((packet) => this.pass(packet));
+      .forEach((packet) => this.deliver(packet));
     ids.forEach((id) => this.sync(id));
   }
 
-  /** Moves time past every leader's hold, then makes `id` campaign. */
+  /**
+   * Advances time until no leader counts as active; starts an election at `id`.
+   */
   startCampaign(id: string): void {
     this.nowMs += this.#options.electionTimeoutMs;
     const replica = this.replicas.get(id)!;
@@ -190,7 +200,7 @@
     this.push(id, { type: "Ticked" });
   }
 
-  /** Proposes a command that is its own request id. */
+  /** Proposes a command whose payload is its request id. */
   startProposal(id: string): string {
     const requestId = this.#createRequestId("p");
     const payload = encoder.encode(requestId);
@@ -201,12 +211,14 @@
   /** Starts a read. */
   read(id: string): string {
     const requestId = this.#createRequestId("r");
-    this.checker.noteReadStarted(requestId);
+    this.checker.recordReadStarted(requestId);
     this.push(id, { type: "ReadRequested", requestId });
     return requestId;
   }
 
-  /** Takes the next step of replacing `oldId` by `newId`, at a leader. */
+  /**
+   * Proposes the next step of replacing `oldId` by `newId` to the leader `id`.
+   */
   updateReplicas(id: string, oldId: string, newId: string): void {
     const before = this.replicas.get(id)!.state;
     const { voters, learners } = before.configuration;
@@ -229,7 +241,7 @@
     }
   }
 
-  /** Lists replicas that lead, or believe that they do. */
+  /** Lists the replicas in the leader role, deposed ones included. */
   listLeaders(): readonly string[] {
     return [...this.replicas.keys()]
       .filter((id) => this.replicas.get(id)!.state.role.type === "Leader");
@@ -243,7 +255,7 @@
     try {
       return this.#reduce(state, event, nowMs);
     } catch (error) {
-      throw new Violation(`replica ${state.replicaId} stopped: ${error}`);
+      throw new SafetyViolation(`replica ${state.replicaId} stopped: ${error}`);
     }
   }
 
@@ -251,13 +263,15 @@
     const { disk } = this.replicas.get(id)!;
     const last = disk.entries.at(-1)?.index ?? disk.snapshot?.lastIndex ?? 0;
     if (last < commitIndex) {
-      throw new Violation(`${id} counts before it has entry ${commitIndex}`);
+      throw new SafetyViolation(
+        `${id} counts before it has entry ${commitIndex}`,
+      );
     }
   }
 
   #createRequestId(kind: string): string {
-    this.#requests++;
-    return `${kind}${this.#requests}`;
+    this.#requestCount++;
+    return `${kind}${this.#requestCount}`;
   }
 
   #perform(id: string, effects: readonly ConsensusEffect[]): void {
@@ -311,13 +325,13 @@
         checker.checkRead(effect.requestId, replica.appliedIndex);
         break;
       case "ProposalCommitted":
-        checker.noteCommitted(effect.requestId, effect.index);
+        checker.recordCommitted(effect.requestId, effect.index);
         break;
       case "ProposalFailed":
-        checker.noteFailed(effect.requestId, effect.failure);
+        checker.recordFailed(effect.requestId, effect.failure);
         break;
       default:
     }
-    this.told.push({ id, effect });
+    this.reportedEffects.push({ id, effect });
   }
 }
--- a/src/engine/consensus/test/safety_checker.ts
+++ b/src/engine/consensus/test/safety_checker.ts
@@ -1,4 +1,4 @@
-/** Watches a replica set and throws where a promise of Raft is broken. */
+/** Checks the safety properties of Raft over all replicas of a set. */
 import type {
   CommittedCommand,
   ConsensusFailure,
@@ -8,12 +8,14 @@
 import type { Configuration, LogEntry } from "../common/log_types.ts";
 import { lookupTerm } from "../common/replicated_log.ts";
 
-/** A promise that was broken. */
-export class Violation extends Error {}
+/** Thrown when a safety property is violated. */
+export class SafetyViolation extends Error {}
 
 const decoder = new TextDecoder();
 
-/** Knows all that was ever committed, answered and read. */
+/**
+ * Records everything committed, answered and read, and throws on a violation.
+ */
 export class SafetyChecker {
   readonly #leaders = new Map<number, string>();
   readonly #entries = new Map<string, string>();
@@ -22,14 +24,14 @@
   readonly #refused = new Set<string>();
   readonly #reads = new Map<string, number>();
   #committedIndex = 0;
-  #seenIndex = 0;
+  #observedIndex = 0;
   #configuration: Configuration;
 
   constructor(configuration: Configuration) {
     this.#configuration = configuration;
   }
 
-  /** Checks the state after any event. */
+  /** Checks the state of a replica after an event. */
   checkState(before: ConsensusState, after: ConsensusState): void {
     if (after.role.type === "Leader") {
       this.#checkLeader(before, after);
@@ -39,7 +41,7 @@
     }
   }
 
-  /** Checks entries that were handed to the disk: logs match. */
+  /** Checks entries written to a disk: same index and term, same content. */
   checkEntries(state: ConsensusState, entries: readonly LogEntry[]): void {
     for (const { index, term, payload } of entries) {
       const key = `${index}:${term}`;
@@ -47,13 +49,13 @@
       const text = `${previousTerm}:${decoder.decode(payload)}`;
       const known = this.#entries.get(key);
       if (known !== undefined && known !== text) {
-        throw new Violation(`logs differ at ${key}`);
+        throw new SafetyViolation(`logs differ at ${key}`);
       }
       this.#entries.set(key, text);
     }
   }
 
-  /** Checks commands handed to a state machine. */
+  /** Checks commands applied to a state machine. */
   checkCommands(commands: readonly CommittedCommand[]): void {
     for (const { index, payload } of commands) {
       this.checkCommand(index, decoder.decode(payload));
@@ -64,48 +66,50 @@
   checkCommand(index: number, requestId: string): void {
     const known = this.#commands.get(index);
     if (known !== undefined && known !== requestId) {
-      throw new Violation(`state machines differ at ${index}`);
+      throw new SafetyViolation(`state machines differ at ${index}`);
     }
     if (this.#refused.has(requestId)) {
-      throw new Violation(`refused proposal ${requestId} was committed`);
+      throw new SafetyViolation(`refused proposal ${requestId} was committed`);
     }
     this.#commands.set(index, requestId);
   }
 
-  /** Notes that a proposal was answered as committed. */
-  noteCommitted(requestId: string, index: number): void {
+  /** Records that a proposal was answered as committed. */
+  recordCommitted(requestId: string, index: number): void {
     const known = this.#commands.get(index);
     if (known !== undefined && known !== requestId) {
-      throw new Violation(`proposal ${requestId} is not what was committed`);
+      throw new SafetyViolation(
+        `proposal ${requestId} is not what was committed`,
+      );
     }
-    this.#seenIndex = Math.max(this.#seenIndex, index);
+    this.#observedIndex = Math.max(this.#observedIndex, index);
   }
 
-  /** Notes that a proposal was answered as failed. */
-  noteFailed(requestId: string, failure: ConsensusFailure): void {
+  /** Records that a proposal was answered as failed. */
+  recordFailed(requestId: string, failure: ConsensusFailure): void {
     if (failure.type !== "OutcomeUnknown") {
       this.#refused.add(requestId);
     }
   }
 
-  /** Notes what a read that starts now must at least see. */
-  noteReadStarted(requestId: string): void {
-    this.#reads.set(requestId, this.#seenIndex);
+  /** Records the lowest index that a read starting now must observe. */
+  recordReadStarted(requestId: string): void {
+    this.#reads.set(requestId, this.#observedIndex);
   }
 
-  /** Checks that a read sees all that was answered before it started. */
+  /** Checks that a read observes everything answered before it started. */
   checkRead(requestId: string, appliedIndex: number): void {
     if (appliedIndex < (this.#reads.get(requestId) ?? 0)) {
-      throw new Violation(`read ${requestId} is stale`);
+      throw new SafetyViolation(`read ${requestId} is stale`);
     }
-    this.#seenIndex = Math.max(this.#seenIndex, appliedIndex);
+    this.#observedIndex = Math.max(this.#observedIndex, appliedIndex);
   }
 
   #checkLeader(before: ConsensusState, after: ConsensusState): void {
     const { term, replicaId } = after;
     const known = this.#leaders.get(term);
     if (known !== undefined && known !== replicaId) {
-      throw new Violation(`two leaders in term ${term}`);
+      throw new SafetyViolation(`two leaders in term ${term}`);
     }
     this.#leaders.set(term, replicaId);
     if (known === undefined) {
@@ -121,7 +125,9 @@
       const isLost = index > leader.log.baseIndex &&
         lookupTerm(leader.log, index) !== term;
       if (isLost) {
-        throw new Violation(`leader of ${leader.term} lacks entry ${index}`);
+        throw new SafetyViolation(
+          `leader of ${leader.term} lacks entry ${index}`,
+        );
       }
     }
   }
@@ -129,10 +135,12 @@
   #checkOverlap(next: Configuration): void {
     const before = this.#configuration.voters;
     const all = new Set([...before, ...next.voters]);
-    const least = Math.floor(before.length / 2) + 1 +
+    const combinedQuorums = Math.floor(before.length / 2) + 1 +
       Math.floor(next.voters.length / 2) + 1;
-    if (least <= all.size) {
-      throw new Violation(`quorums of ${before} and ${next.voters} part`);
+    if (combinedQuorums <= all.size) {
+      throw new SafetyViolation(
+        `quorums of ${before} and ${next.voters} may not overlap`,
+      );
     }
   }
 
@@ -141,16 +149,16 @@
       const term = lookupTerm(state.log, index);
       const known = this.#committedTerms.get(index);
       if (term !== undefined && known !== undefined && term !== known) {
-        throw new Violation(`committed entry ${index} changed`);
+        throw new SafetyViolation(`committed entry ${index} changed`);
       }
       if (term !== undefined) {
         this.#committedTerms.set(index, term);
       }
-      this.#noteConfiguration(state, index);
+      this.#recordConfiguration(state, index);
     }
   }
 
-  #noteConfiguration(state: ConsensusState, index: number): void {
+  #recordConfiguration(state: ConsensusState, index: number): void {
     const entry = state.log.entries[index - state.log.baseIndex - 1];
     if (entry === undefined || index <= this.#committedIndex) {
       return;
--- a/src/engine/storage/common/files.ts
+++ b/src/engine/storage/common/files.ts
@@ -1,4 +1,6 @@
-/** The file operations that storage needs, so that tests can fail each one. */
+/**
+ * The file operations that storage needs, as an interface for fault injection.
+ */
 import type { ResultAsync } from "neverthrow";
 import type { StorageError } from "./storage_error.ts";
 
@@ -9,22 +11,22 @@
 export interface OpenFile {
   /** Writes all of `bytes` at `positionBytes`. */
   write(bytes: Uint8Array, positionBytes: number): FileResult<void>;
-  /** Resolves once all that was written survives a power loss. */
+  /** Resolves once everything written survives a power loss. */
   sync(): FileResult<void>;
   truncate(sizeBytes: number): FileResult<void>;
   close(): FileResult<void>;
 }
 
-/** The operations on one folder; files are named without it. */
+/** Operations on one folder; file names are relative to it. */
 export interface Files {
   list(): FileResult<readonly string[]>;
   read(name: string): FileResult<Uint8Array>;
-  /** Creates a file, or empties the one that there is. */
+  /** Creates a file, or truncates an existing one to zero length. */
   create(name: string): FileResult<OpenFile>;
-  /** Opens a file that there is, to write on. */
+  /** Opens an existing file for writing. */
   open(name: string): FileResult<OpenFile>;
   rename(from: string, to: string): FileResult<void>;
   remove(name: string): FileResult<void>;
-  /** Resolves once the names in the folder survive a power loss. */
+  /** Resolves once the folder's directory entries survive a power loss. */
   syncFolder(): FileResult<void>;
 }
--- a/src/engine/storage/common/log_replay.ts
+++ b/src/engine/storage/common/log_replay.ts
@@ -1,4 +1,4 @@
-/** What the records of the data folder add up to, in memory. */
+/** Replay of the log records of a data folder into memory. */
 import { err, ok, type Result } from "neverthrow";
 import type {
   HardState,
@@ -7,60 +7,63 @@
   Snapshot,
 } from "../../consensus/common/log_types.ts";
 
-/** One write, kept whole or not at all. */
+/** One atomic write. */
 export interface LogWrite {
-  /** The new hard state; undefined where it stands. */
+  /** The new hard state; undefined if unchanged. */
   readonly hardState: HardState | undefined;
-  /** Drops this index and all after it before `entries` are appended. */
+  /** Entries from this index on are removed before `entries` are appended. */
   readonly truncateFrom: number | undefined;
   readonly entries: readonly LogEntry[];
 }
 
-/** A snapshot as it is kept. */
+/** A snapshot as stored on disk. */
 export interface StoredSnapshot {
   readonly snapshot: Snapshot;
-  /** Whether the entries after it go too, if the log begins before it. */
+  /**
+   * Whether entries after the snapshot are dropped too, if the log starts
+   * before it.
+   */
   readonly discardsLog: boolean;
 }
 
-/** A record as it stands in a segment. */
+/** A record of a log segment. */
 export type LogRecord =
-  /** Opens a segment that goes on from the one before it. */
+  /** First record of a segment that continues the one before it. */
   | { readonly type: "SegmentContinued"; readonly nextIndex: number }
-  /** Opens a segment that needs none before it. */
+  /** First record of a segment that does not depend on earlier ones. */
   | {
     readonly type: "SegmentCompacted";
     readonly hardState: HardState;
-    /** Index of the last entry that a snapshot took the place of. */
+    /** Index of the last entry that a snapshot replaced. */
     readonly baseIndex: number;
     readonly entries: readonly LogEntry[];
   }
   | ({ readonly type: "LogWritten" } & LogWrite);
 
-/** The log as the records so far leave it. */
+/** The log after the records replayed so far. */
 export interface ReplayedLog {
   readonly hardState: HardState;
   readonly baseIndex: number;
   readonly entries: readonly LogEntry[];
 }
 
-/** The log of a replica that has never written. */
+/** The log of a replica that has not written anything. */
 export const EMPTY_LOG: ReplayedLog = {
   hardState: { term: 0, votedFor: undefined },
   baseIndex: 0,
   entries: [],
 };
 
-/** Applies one record; the error says why it can't follow the ones before. */
+/** Applies one record; the error is the reason why it cannot follow `log`. */
 export function applyRecord(
   log: ReplayedLog,
   record: LogRecord,
 ): Result<ReplayedLog, string> {
   switch (record.type) {
     case "SegmentContinued":
-      return record.nextIndex === getNextIndex(log)
-        ? ok(log)
-        : err(`segment goes on at ${record.nextIndex}`);
+      return record.nextIndex === getNextIndex(log) ? ok(log) : err(
+        `segment continues at entry ${record.nextIndex}, not where the log ends`,
+      );
     case "SegmentCompacted": {
       const { hardState, baseIndex, entries } = record;
       return appendEntries({ hardState, baseIndex, entries: [] }, entries);
@@ -70,7 +73,7 @@
   }
 }
 
-/** Applies one write to the log. */
+/** Applies one write; the error is the reason why it cannot follow `log`. */
 export function applyWrite(
   log: ReplayedLog,
   write: LogWrite,
@@ -78,7 +81,9 @@
   const hardState = write.hardState ?? log.hardState;
   const { truncateFrom } = write;
   if (truncateFrom !== undefined && truncateFrom <= log.baseIndex) {
-    return err(`truncation at ${truncateFrom} is before the log`);
+    return err(
+      `truncation at entry ${truncateFrom} precedes the start of the log`,
+    );
   }
   const kept = truncateFrom === undefined
     ? log.entries
@@ -87,8 +92,9 @@
 }
 
 /**
- * Drops what a snapshot covers. Where the log holds the snapshot's last entry,
- * what follows is kept; else the log conflicts with it and all is dropped
+ * Drops the entries that a snapshot covers. If the log holds the snapshot's
+ * last entry, the entries after it are retained unless the snapshot discards
+ * them; otherwise the log conflicts with the snapshot and is dropped altogether
  * (Ongaro and Ousterhout 2014, section 7).
  */
 export function compactLog(
@@ -106,13 +112,15 @@
   return { ...log, baseIndex: lastIndex, entries };
 }
 
-/** Joins log and snapshot; the error says what is missing between them. */
+/** Joins log and snapshot; the error is the reason why entries are missing. */
 export function recover(
   log: ReplayedLog,
   stored: StoredSnapshot | undefined,
 ): Result<Recovered, string> {
   if (log.baseIndex > (stored?.snapshot.lastIndex ?? 0)) {
-    return err(`log starts after ${log.baseIndex}, with no snapshot up to it`);
+    return err(
+      `log starts after entry ${log.baseIndex}, with no snapshot that covers it`,
+    );
   }
   const { hardState, entries } = stored === undefined
     ? log
@@ -120,7 +128,7 @@
   return ok({ hardState, snapshot: stored?.snapshot, entries });
 }
 
-/** Gets the index that the next entry has. */
+/** Returns the index of the next entry to be appended. */
 export function getNextIndex(log: ReplayedLog): number {
   return log.baseIndex + log.entries.length + 1;
 }
@@ -130,8 +138,12 @@
   entries: readonly LogEntry[],
 ): Result<ReplayedLog, string> {
   const next = getNextIndex(log);
-  const wrong = entries.findIndex((entry, at) => entry.index !== next + at);
-  return wrong < 0
+  const mismatch = entries.findIndex((entry, at) => entry.index !== next + at);
+  return mismatch < 0
     ? ok({ ...log, entries: [...log.entries, ...entries] })
-    : err(`entry ${entries[wrong]!.index} where ${next + wrong} is due`);
+    : err(
+      `found entry ${entries[mismatch]!.index} where entry ${
+        next + mismatch
+      } is expected`,
+    );
 }
--- a/src/engine/storage/common/storage_error.ts
+++ b/src/engine/storage/common/storage_error.ts
@@ -1,6 +1,6 @@
-/** What can go wrong with the data folder, and how it is told. */
+/** Errors of the data folder, and their description. */
 
-/** A file operation, as an error names it. */
+/** The file operation that an error reports. */
 export type FileOperation =
   | "close"
   | "create"
@@ -13,16 +13,16 @@
   | "truncate"
   | "write";
 
-/** Why the data folder can't be used or a write can't be answered for. */
+/** Why the data folder cannot be used, or a write is not durable. */
 export type StorageError =
   | {
     readonly type: "FileFailed";
     readonly operation: FileOperation;
     readonly file: string;
-    /** The system's code, such as `ENOSPC`. */
+    /** The system's error code, such as `ENOSPC`. */
     readonly code: string;
   }
-  /** A checksum or a sequence doesn't hold where a torn write can't be why. */
+  /** A checksum or sequence is wrong, and a torn write cannot explain it. */
   | {
     readonly type: "DataDamaged";
     readonly file: string;
@@ -42,12 +42,15 @@
   | {
     readonly type: "FolderForeign";
     readonly folder: string;
+    /** Id in the settings of the replica that the folder belongs to. */
     readonly owner: string;
   }
-  /** An earlier failure left it open what is on the disk. */
+  /**
+   * Storage was closed, or an earlier failure left the disk contents unknown.
+   */
   | { readonly type: "StorageStopped"; readonly cause: string };
 
-/** Describes an error in one line for the operator. */
+/** Describes an error for the operator, in one line. */
 export function describeStorageError(error: StorageError): string {
   switch (error.type) {
     case "FileFailed":
--- a/src/engine/storage/node/disk_files.ts
+++ b/src/engine/storage/node/disk_files.ts
@@ -1,4 +1,4 @@
-/** File operations on a folder of the disk. */
+/** File operations on a folder on disk. */
 import type { FileHandle } from "node:fs/promises";
 import { open, readdir, readFile, rename, rm } from "node:fs/promises";
 import { join } from "node:path";
@@ -6,24 +6,34 @@
 import type { FileResult, Files, OpenFile } from "../common/files.ts";
 import type { FileOperation } from "../common/storage_error.ts";
 
-/** What is stored holds keys of callers: its owner alone may read it. */
+/** Stored data contains keys of callers, so only its owner may read it. */
 const FILE_MODE = 0o600;
 
-/** Opens the operations on `folder`, which must exist. */
+/** Creates the file operations on `folder`, which must exist. */
 export function openDiskFiles(folder: string): Files {
-  const locate = (name: string) => join(folder, name);
+  const resolvePath = (name: string) => join(folder, name);
   return {
     list: () => convertErrors("list", folder, readdir(folder)),
-    read: (name) => convertErrors("read", locate(name), readFile(locate(name))),
+    read: (name) =>
+      convertErrors("read", resolvePath(name), readFile(resolvePath(name))),
     create: (name) =>
-      convertErrors("create", locate(name), open(locate(name), "w", FILE_MODE))
-        .map((handle) => openDiskFile(locate(name), handle)),
+      convertErrors(
+        "create",
+        resolvePath(name),
+        open(resolvePath(name), "w", FILE_MODE),
+      )
+        .map((handle) => openDiskFile(resolvePath(name), handle)),
     open: (name) =>
-      convertErrors("open", locate(name), open(locate(name), "r+"))
-        .map((handle) => openDiskFile(locate(name), handle)),
+      convertErrors("open", resolvePath(name), open(resolvePath(name), "r+"))
+        .map((handle) => openDiskFile(resolvePath(name), handle)),
     rename: (from, to) =>
-      convertErrors("rename", locate(from), rename(locate(from), locate(to))),
-    remove: (name) => convertErrors("remove", locate(name), rm(locate(name))),
+      convertErrors(
+        "rename",
+        resolvePath(from),
+        rename(resolvePath(from), resolvePath(to)),
+      ),
+    remove: (name) =>
+      convertErrors("remove", resolvePath(name), rm(resolvePath(name))),
     syncFolder: () => convertErrors("sync", folder, syncFolder(folder)),
   };
 }
@@ -44,16 +54,16 @@
   bytes: Uint8Array,
   positionBytes: number,
 ): Promise<void> {
-  let done = 0;
-  while (done < bytes.length) {
-    const left = bytes.subarray(done);
+  let writtenBytes = 0;
+  while (writtenBytes < bytes.length) {
+    const remaining = bytes.subarray(writtenBytes);
     const { bytesWritten } = await handle.write(
-      left,
+      remaining,
       0,
-      left.length,
-      positionBytes + done,
+      remaining.length,
+      positionBytes + writtenBytes,
     );
-    done += bytesWritten;
+    writtenBytes += bytesWritten;
   }
 }
 
--- a/src/engine/storage/node/folder_lock.ts
+++ b/src/engine/storage/node/folder_lock.ts
@@ -1,4 +1,4 @@
-/** One writer per data folder: a lock file that names its process. */
+/** Lock file that ensures a single writer per data folder. */
 import { readFileSync, renameSync, rmSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
 import process from "node:process";
@@ -8,14 +8,19 @@
 /** Name of the lock file. */
 export const LOCK_FILE = "lock";
 
-/** A process, told from a later one with the same pid by its start. */
-interface ProcessStamp {
+/**
+ * Identity of a process; the start distinguishes it from a later one with its
+ * pid.
+ */
+interface ProcessIdentity {
   readonly pid: number;
-  /** Start in clock ticks since boot, and the boot; empty if not known. */
+  /**
+   * Start in clock ticks since boot, `@`, and the boot id; empty if unknown.
+   */
   readonly startedAt: string;
 }
 
-/** Holds the lock of a data folder until it is disposed. */
+/** The lock of a data folder, held until disposed. */
 export class FolderLock implements AsyncDisposable {
   readonly #file: string;
 
@@ -29,10 +34,12 @@
   }
 }
 
-/** Takes the lock of `folder`; that of a process that has ended is replaced. */
-export function claimFolder(folder: string): Result<FolderLock, StorageError> {
+/** Acquires the lock of `folder`; replaces the lock of an ended process. */
+export function acquireFolderLock(
+  folder: string,
+): Result<FolderLock, StorageError> {
   const file = join(folder, LOCK_FILE);
-  const self = readStamp(process.pid);
+  const self = readProcessIdentity(process.pid);
   if (createLock(file, self)) {
     return ok(new FolderLock(file));
   }
@@ -40,29 +47,32 @@
   if (holder !== undefined && isRunning(holder)) {
     return err({ type: "FolderLocked", folder, pid: holder.pid });
   }
-  return displaceLock(file, self)
+  return replaceStaleLock(file, self)
     ? ok(new FolderLock(file))
     : err({ type: "FolderLocked", folder, pid: readLock(file)?.pid ?? 0 });
 }
 
-/** Moving the stale lock away lets only one of several starters create one. */
-function displaceLock(file: string, self: ProcessStamp): boolean {
-  const aside = `${file}.${self.pid}.tmp`;
+/**
+ * Replaces a stale lock. It is renamed first, which succeeds in only one of
+ * several processes that try at the same time.
+ */
+function replaceStaleLock(file: string, self: ProcessIdentity): boolean {
+  const movedFile = `${file}.${self.pid}.tmp`;
   try {
-    renameSync(file, aside);
+    renameSync(file, movedFile);
   } catch {
     return false;
   }
-  const moved = readLock(aside);
-  if (moved !== undefined && isRunning(moved)) {
-    renameSync(aside, file);
+  const movedIdentity = readLock(movedFile);
+  if (movedIdentity !== undefined && isRunning(movedIdentity)) {
+    renameSync(movedFile, file);
     return false;
   }
-  rmSync(aside, { force: true });
+  rmSync(movedFile, { force: true });
   return createLock(file, self);
 }
 
-function createLock(file: string, self: ProcessStamp): boolean {
+function createLock(file: string, self: ProcessIdentity): boolean {
   try {
     writeFileSync(file, JSON.stringify(self), { flag: "wx" });
     return true;
@@ -71,35 +81,35 @@
   }
 }
 
-function readLock(file: string): ProcessStamp | undefined {
+function readLock(file: string): ProcessIdentity | undefined {
   try {
-    return JSON.parse(readFileSync(file, "utf8")) as ProcessStamp;
+    return JSON.parse(readFileSync(file, "utf8")) as ProcessIdentity;
   } catch {
     return undefined;
   }
 }
 
-function isRunning(stamp: ProcessStamp): boolean {
+function isRunning(identity: ProcessIdentity): boolean {
   try {
-    process.kill(stamp.pid, 0);
+    process.kill(identity.pid, 0);
   } catch (error) {
     if ((error as NodeJS.ErrnoException).code === "ESRCH") {
       return false;
     }
   }
-  return readStamp(stamp.pid).startedAt === stamp.startedAt;
+  return readProcessIdentity(identity.pid).startedAt === identity.startedAt;
 }
 
-function readStamp(pid: number): ProcessStamp {
+function readProcessIdentity(pid: number): ProcessIdentity {
   try {
     const stat = readFileSync(`/proc/${pid}/stat`, "utf8");
     const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
     const boot = readFileSync("/proc/sys/kernel/random/boot_id", "utf8").trim();
-    return { pid, startedAt: `${fields[START_FIELD]}@${boot}` };
+    return { pid, startedAt: `${fields[START_TIME_FIELD]}@${boot}` };
   } catch {
     return { pid, startedAt: "" };
   }
 }
 
-/** Start time's place after the command name (proc(5), field 22). */
-const START_FIELD = 19;
+/** Position of the start time after the command name (proc(5), field 22). */
+const START_TIME_FIELD = 19;
--- a/src/engine/storage/node/record_codec.ts
+++ b/src/engine/storage/node/record_codec.ts
@@ -1,29 +1,29 @@
-/** Frames of checksummed records, and the header of each file. */
+/** Encoding of checksummed records and of the file header. */
 import { crc32 } from "node:zlib";
 import { err, ok, type Result } from "neverthrow";
 import type { StorageError } from "../common/storage_error.ts";
 
-/** Version of the format that this release writes and reads. */
+/** Format version that this release writes and reads. */
 export const FORMAT_VERSION = 1;
-/** Bytes of the header that opens every file. */
+/** Size of the header at the start of every file. */
 export const FILE_HEADER_BYTES = 12;
-/** Bytes before the payload of each record. */
+/** Size of the header before the payload of each record. */
 export const RECORD_HEADER_BYTES = 12;
 
 const FILE_MAGIC = 0x4250_4c4e;
 const SECTOR_BYTES = 512;
 
-/** What a file holds. */
+/** The contents of a file. */
 export interface ScannedFile {
-  /** Payloads of the whole records, in order. */
+  /** Payloads of the complete records, in order. */
   readonly payloads: readonly Uint8Array[];
-  /** Where the last whole record ends. */
+  /** Offset at which the last complete record ends. */
   readonly endBytes: number;
-  /** Bytes of an incomplete last write after that. */
+  /** Size of an incomplete last write after `endBytes`; 0 if none. */
   readonly tornBytes: number;
 }
 
-/** Encodes the header of a file: magic, format version, checksum of both. */
+/** Encodes a file header: magic number, format version, checksum of both. */
 export function encodeFileHeader(version = FORMAT_VERSION): Uint8Array {
   const header = Buffer.alloc(FILE_HEADER_BYTES);
   header.writeUInt32LE(FILE_MAGIC, 0);
@@ -33,9 +33,9 @@
 }
 
 /**
- * Encodes one record for its place in a file: length, checksum of place and
- * length, checksum of the payload. The place is in the checksum so that no
- * bytes are taken for a record where none was written.
+ * Encodes one record for its offset in a file: length, checksum of length and
+ * offset, checksum of the payload, payload. The offset is part of the checksum
+ * so that stray bytes at another offset are not mistaken for a record.
  */
 export function encodeRecord(
   payload: Uint8Array,
@@ -43,16 +43,16 @@
 ): Uint8Array {
   const record = Buffer.alloc(RECORD_HEADER_BYTES + payload.length);
   record.writeUInt32LE(payload.length, 0);
-  record.writeUInt32LE(computeHeaderSum(payload.length, offsetBytes), 4);
+  record.writeUInt32LE(computeHeaderChecksum(payload.length, offsetBytes), 4);
   record.writeUInt32LE(crc32(payload), 8);
   record.set(payload, RECORD_HEADER_BYTES);
   return record;
 }
 
 /**
- * Reads a file's records. One that was not written to its end is reported as
- * torn: it reaches past the end of the file, or sectors of it were never
- * written and nothing follows it. Anything else that doesn't hold is damage.
+ * Reads a file's records. A last record that was not fully written is reported
+ * as torn: it extends past the end of the file, or sectors of it were never
+ * written and no record follows it. Any other invalid record is damage.
  */
 export function readFileRecords(
   file: string,
@@ -110,9 +110,9 @@
   const length = buffer.readUInt32LE(offsetBytes);
   if (
     buffer.readUInt32LE(offsetBytes + 4) !==
-      computeHeaderSum(length, offsetBytes)
+      computeHeaderChecksum(length, offsetBytes)
   ) {
-    return judgeBadRecord(buffer, offsetBytes, buffer.length);
+    return inspectInvalidRecord(buffer, offsetBytes, buffer.length);
   }
   const end = start + length;
   if (end > buffer.length) {
@@ -121,14 +121,15 @@
   const payload = buffer.subarray(start, end);
   return crc32(payload) === buffer.readUInt32LE(offsetBytes + 8)
     ? payload
-    : judgeBadRecord(buffer, offsetBytes, end);
+    : inspectInvalidRecord(buffer, offsetBytes, end);
 }
 
 /**
- * Each record is synced before the next is written, so only the last can be
- * torn; a file system shows what it did not write of it as zeroes.
+ * Classifies a record with a wrong checksum. Each record is synced before the
+ * next is written, so only the last can be torn; sectors of it that were not
+ * written read as zeroes.
  */
-function judgeBadRecord(
+function inspectInvalidRecord(
   buffer: Buffer,
   startBytes: number,
   endBytes: number,
@@ -144,8 +145,8 @@
   while (from < buffer.length) {
     const nextSector = (Math.floor(from / SECTOR_BYTES) + 1) * SECTOR_BYTES;
     const to = Math.min(nextSector, buffer.length);
-    const isWide = to - from >= RECORD_HEADER_BYTES;
-    if (isWide && buffer.subarray(from, to).every((byte) => byte === 0)) {
+    const isLongEnough = to - from >= RECORD_HEADER_BYTES;
+    if (isLongEnough && buffer.subarray(from, to).every((byte) => byte === 0)) {
       return true;
     }
     from = to;
@@ -155,12 +156,18 @@
 
 function hasRecordAfter(buffer: Buffer, startBytes: number): boolean {
   const last = buffer.length - RECORD_HEADER_BYTES;
-  for (let at = startBytes + 1; at <= last; at++) {
-    const length = buffer.readUInt32LE(at);
-    const isPlausible = at + RECORD_HEADER_BYTES + length <= buffer.length;
+  for (
+    let candidateBytes = startBytes + 1;
+    candidateBytes <= last;
+    candidateBytes++
+  ) {
+    const length = buffer.readUInt32LE(candidateBytes);
+    const isPlausible =
+      candidateBytes + RECORD_HEADER_BYTES + length <= buffer.length;
     if (
       isPlausible &&
-      buffer.readUInt32LE(at + 4) === computeHeaderSum(length, at)
+      buffer.readUInt32LE(candidateBytes + 4) ===
+        computeHeaderChecksum(length, candidateBytes)
     ) {
       return true;
     }
@@ -168,9 +175,12 @@
   return false;
 }
 
-function computeHeaderSum(lengthBytes: number, offsetBytes: number): number {
-  const place = Buffer.alloc(12);
-  place.writeUInt32LE(lengthBytes, 0);
-  place.writeBigUInt64LE(BigInt(offsetBytes), 4);
-  return crc32(place);
+function computeHeaderChecksum(
+  lengthBytes: number,
+  offsetBytes: number,
+): number {
+  const input = Buffer.alloc(12);
+  input.writeUInt32LE(lengthBytes, 0);
+  input.writeBigUInt64LE(BigInt(offsetBytes), 4);
+  return crc32(input);
 }
--- a/src/engine/storage/node/replica_identity.ts
+++ b/src/engine/storage/node/replica_identity.ts
@@ -1,14 +1,12 @@
-/** The id of a replica, which lives and dies with its data folder. */
+/**
+ * The id of a replica; it is created and lost together with its data folder.
+ */
 import { err, ok, safeTry } from "neverthrow";
 import type { StorageError } from "../common/storage_error.ts";
 import type { FileResult, Files } from "../common/files.ts";
-import {
-  encodeWholeFile,
-  readWholeFile,
-  writeWholeFile,
-} from "./whole_file.ts";
+import { encodeRecordFile, readRecordFile, replaceFile } from "./whole_file.ts";
 
-/** Name of the file that holds the identity. */
+/** Name of the identity file. */
 export const IDENTITY_FILE = "identity";
 
 interface IdentityRecord {
@@ -17,31 +15,31 @@
   readonly replicaId: string;
 }
 
-/** Reads the replica id; the folder of another replica is refused. */
+/** Reads the replica id; fails if the folder belongs to another replica. */
 export function readIdentity(
   files: Files,
   settingsId: string,
 ): FileResult<string> {
   return safeTry(async function* () {
-    const found = yield* readWholeFile<IdentityRecord>(
+    const identity = yield* readRecordFile<IdentityRecord>(
       files,
       IDENTITY_FILE,
     );
-    if (found.settingsId !== settingsId) {
-      const owner = found.settingsId;
+    if (identity.settingsId !== settingsId) {
+      const owner = identity.settingsId;
       return err<never, StorageError>({
         type: "FolderForeign",
         folder: IDENTITY_FILE,
         owner,
       });
     }
-    return ok(found.replicaId);
+    return ok(identity.replicaId);
   });
 }
 
 /**
  * Creates the id of a new data folder. `suffix` must be random: a replica that
- * lost its disk has forgotten its votes, and must not be taken for the old one.
+ * lost its disk has lost its votes too, so it must not reuse its former id.
  */
 export function createIdentity(
   files: Files,
@@ -55,8 +53,8 @@
       settingsId,
       replicaId,
     };
-    const bytes = encodeWholeFile(record);
-    yield* writeWholeFile(files, IDENTITY_FILE, bytes);
+    const bytes = encodeRecordFile(record);
+    yield* replaceFile(files, IDENTITY_FILE, bytes);
     return ok(replicaId);
   });
 }
--- a/src/engine/storage/node/segment_file.ts
+++ b/src/engine/storage/node/segment_file.ts
@@ -1,4 +1,4 @@
-/** Log segments: names, the record that opens each, and replay of them all. */
+/** Log segments: file names, and replay of their records. */
 import { err, ok, type Result, safeTry } from "neverthrow";
 import { encodeMessage } from "../../../base/node/message_codec.ts";
 import type { FileResult, Files } from "../common/files.ts";
@@ -11,18 +11,20 @@
   RECORD_HEADER_BYTES,
 } from "./record_codec.ts";
 import type { ScannedFile } from "./record_codec.ts";
-import { createDamage, decodeRecord } from "./whole_file.ts";
+import { createDataDamagedError, decodeRecord } from "./whole_file.ts";
 
 const SEGMENT_FILE = /^log-(\d{10})$/;
 
-/** What the segments add up to. */
+/** The result of replaying the segments. */
 export interface ReplayedSegments {
   readonly log: ReplayedLog;
-  /** Segments that the log needs, oldest first; the last is written on. */
+  /**
+   * Segments that the log consists of, oldest first; the last is appended to.
+   */
   readonly names: readonly string[];
-  /** Where the last segment's whole records end. */
+  /** Offset at which the last segment's complete records end. */
   readonly endBytes: number;
-  /** Bytes of an incomplete last write after that. */
+  /** Size of an incomplete last write after `endBytes`; 0 if none. */
   readonly tornBytes: number;
 }
 
@@ -31,12 +33,12 @@
   readonly scanned: ScannedFile;
 }
 
-/** Names a segment. */
+/** Formats the file name of a segment; names sort by sequence. */
 export function formatSegmentName(sequence: number): string {
   return `log-${String(sequence).padStart(10, "0")}`;
 }
 
-/** Gets the sequence of a segment from its name. */
+/** Returns the sequence number of a segment, from its name. */
 export function getSegmentSequence(name: string): number {
   return Number(SEGMENT_FILE.exec(name)![1]);
 }
@@ -46,12 +48,12 @@
   return names.filter((name) => SEGMENT_FILE.test(name)).toSorted();
 }
 
-/** Encodes the payload of a record. */
+/** Encodes a log record as the payload of a file record. */
 export function encodeLogRecord(record: LogRecord): Uint8Array {
   return encodeMessage(record);
 }
 
-/** Replays the segments from the last one that needs none before it. */
+/** Replays the segments, from the last that does not depend on earlier ones. */
 export function replaySegments(
   files: Files,
   names: readonly string[],
@@ -62,51 +64,82 @@
       const bytes = yield* files.read(name);
       segments.push({ name, scanned: yield* readFileRecords(name, bytes) });
     }
-    const first = yield* findFirst(segments);
-    const needed = segments.slice(first);
-    yield* checkChain(needed);
+    const first = yield* findFirstNeeded(segments);
+    const neededSegments = segments.slice(first);
+    yield* checkContinuity(neededSegments);
     let log = EMPTY_LOG;
-    for (const segment of needed) {
+    for (const segment of neededSegments) {
       log = yield* replaySegment(log, segment);
     }
-    const { endBytes, tornBytes } = needed.at(-1)!.scanned;
+    const { endBytes, tornBytes } = neededSegments.at(-1)!.scanned;
     return ok({
       log,
-      names: needed.map(({ name }) => name),
+      names: neededSegments.map(({ name }) => name),
       endBytes,
       tornBytes,
     });
   });
 }
 
-function findFirst(segments: readonly Segment[]): Result<number, StorageError> {
-  for (let at = segments.length - 1; at >= 0; at--) {
-    const { name, scanned } = segments[at]!;
+function findFirstNeeded(
+  segments: readonly Segment[],
+): Result<number, StorageError> {
+  for (let position = segments.length - 1; position >= 0; position--) {
+    const { name, scanned } = segments[position]!;
     const head = scanned.payloads[0];
     if (head === undefined) {
-      return err(createDamage(name, FILE_HEADER_BYTES, "segment is empty"));
+      return err(
+        createDataDamagedError(
+          name,
+          FILE_HEADER_BYTES,
+          "segment contains no record",
+        ),
+      );
     }
     const record = decodeRecord<LogRecord>(name, FILE_HEADER_BYTES, head);
     if (record.isErr()) {
       return err(record.error);
     }
     if (record.value.type === "SegmentCompacted") {
-      return ok(at);
+      return ok(position);
     }
   }
-  return err(createDamage("log", 0, "the first segment is missing"));
+  return err(
+    createDataDamagedError(
+      "log",
+      0,
+      "no segment that starts the log was found",
+    ),
+  );
 }
 
-/** A segment was whole and synced before the next one was begun. */
-function checkChain(segments: readonly Segment[]): Result<void, StorageError> {
-  for (let at = 0; at + 1 < segments.length; at++) {
-    const { name, scanned } = segments[at]!;
-    const next = segments[at + 1]!.name;
+/**
+ * Checks that the segments are consecutive and all but the last are complete: a
+ * segment is complete and synced before the next one is started.
+ */
+function checkContinuity(
+  segments: readonly Segment[],
+): Result<void, StorageError> {
+  for (let position = 0; position + 1 < segments.length; position++) {
+    const { name, scanned } = segments[position]!;
+    const next = segments[position + 1]!.name;
     if (scanned.tornBytes > 0) {
-      return err(createDamage(name, scanned.endBytes, "record is incomplete"));
+      return err(
+        createDataDamagedError(
+          name,
+          scanned.endBytes,
+          "incomplete record in a segment that another follows",
+        ),
+      );
     }
     if (getSegmentSequence(next) !== getSegmentSequence(name) + 1) {
-      return err(createDamage(next, 0, `no segment between ${name} and this`));
+      return err(
+        createDataDamagedError(
+          next,
+          0,
+          `a segment between ${name} and this one is missing`,
+        ),
+      );
     }
   }
   return ok(undefined);
@@ -122,7 +155,7 @@
     const applied = decodeRecord<LogRecord>(name, offsetBytes, payload)
       .andThen((record) =>
         applyRecord(log, copyPayloads(record))
-          .mapErr((reason) => createDamage(name, offsetBytes, reason))
+          .mapErr((reason) => createDataDamagedError(name, offsetBytes, reason))
       );
     if (applied.isErr()) {
       return err(applied.error);
@@ -133,7 +166,10 @@
   return ok(log);
 }
 
-/** Decoded bytes are views of the whole segment; copies let it go. */
+/**
+ * Copies payloads: decoded ones are views that keep the whole segment's buffer
+ * in memory.
+ */
 function copyPayloads(record: LogRecord): LogRecord {
   if (record.type === "SegmentContinued") {
     return record;
--- a/src/engine/storage/node/snapshot_file.ts
+++ b/src/engine/storage/node/snapshot_file.ts
@@ -1,18 +1,14 @@
-/** Snapshot files: newest one wins, and a damaged one is never passed over. */
+/** Snapshot files: the newest is used; if it is damaged, reading fails. */
 import { ok, safeTry } from "neverthrow";
 import type { FileResult, Files } from "../common/files.ts";
 import type { StoredSnapshot } from "../common/log_replay.ts";
-import {
-  encodeWholeFile,
-  readWholeFile,
-  writeWholeFile,
-} from "./whole_file.ts";
+import { encodeRecordFile, readRecordFile, replaceFile } from "./whole_file.ts";
 
 const SNAPSHOT_FILE = /^snapshot-(\d{16})$/;
 
 type SnapshotRecord = StoredSnapshot & { readonly type: "SnapshotTaken" };
 
-/** Names the file of a snapshot. */
+/** Formats the file name of a snapshot; names sort by index. */
 export function formatSnapshotName(lastIndex: number): string {
   return `snapshot-${String(lastIndex).padStart(16, "0")}`;
 }
@@ -22,17 +18,17 @@
   return names.filter((name) => SNAPSHOT_FILE.test(name)).toSorted();
 }
 
-/** Writes a snapshot; it stands once this resolves. */
+/** Writes a snapshot; it is durable once this resolves. */
 export function writeSnapshot(
   files: Files,
   stored: StoredSnapshot,
 ): FileResult<void> {
   const record: SnapshotRecord = { ...stored, type: "SnapshotTaken" };
   const name = formatSnapshotName(stored.snapshot.lastIndex);
-  return writeWholeFile(files, name, encodeWholeFile(record));
+  return replaceFile(files, name, encodeRecordFile(record));
 }
 
-/** Reads the newest snapshot; undefined where there is none. */
+/** Reads the newest snapshot; undefined if there is none. */
 export function readNewestSnapshot(
   files: Files,
   names: readonly string[],
@@ -42,7 +38,7 @@
     if (newest === undefined) {
       return ok(undefined);
     }
-    const record = yield* readWholeFile<SnapshotRecord>(files, newest);
+    const record = yield* readRecordFile<SnapshotRecord>(files, newest);
     const payload = new Uint8Array(record.snapshot.payload);
     const { discardsLog } = record;
     return ok({ snapshot: { ...record.snapshot, payload }, discardsLog });
--- a/src/engine/storage/node/storage.ts
+++ b/src/engine/storage/node/storage.ts
@@ -1,4 +1,4 @@
-/** One replica's data folder: log, hard state, snapshots and identity. */
+/** Storage of one replica's log, hard state, snapshots and identity. */
 import {
   err,
   ok,
@@ -44,55 +44,62 @@
   writeSnapshot,
 } from "./snapshot_file.ts";
 import {
-  ASIDE_SUFFIX,
-  createDamage,
-  encodeWholeFile,
-  writeWholeFile,
+  createDataDamagedError,
+  encodeRecordFile,
+  replaceFile,
+  TEMPORARY_SUFFIX,
 } from "./whole_file.ts";
 
-/** Size at which a segment is followed by the next. */
-export const SEGMENT_BYTES = 4 * 1024 * 1024;
+/** Default size from which on a new segment is started. */
+export const DEFAULT_SEGMENT_BYTES = 4 * 1024 * 1024;
 
-/** What storage is opened with. */
+/** Options for opening storage. */
 export interface StorageOptions {
   readonly files: Files;
-  /** The replica's id in its settings. */
+  /** The replica's id in its settings, without the random suffix. */
   readonly settingsId: string;
-  /** Random text that tells this folder's identity from any other's. */
+  /** Random suffix of the replica id, used if the folder is new. */
   readonly identitySuffix: string;
   readonly segmentBytes?: number;
 }
 
-/** What opening found. */
+/** Opened storage and the state recovered from it. */
 export interface OpenedStorage {
   readonly storage: Storage;
   readonly replicaId: string;
-  /** Whether the folder was empty. */
+  /** Whether the folder had no identity yet. */
   readonly isNew: boolean;
   readonly recovered: Recovered;
-  /** Bytes of an incomplete last write that were cut off; none answered for. */
+  /**
+   * Bytes of an incomplete last write that were truncated; never acknowledged.
+   */
   readonly cutBytes: number;
 }
 
+/** The segments in use; the last is open for appending. */
 interface Tail {
   readonly names: readonly string[];
   readonly file: OpenFile;
   readonly sizeBytes: number;
 }
 
-/** Opens the data folder, creates it where it is empty, and recovers. */
+/**
+ * Opens storage: initializes an empty folder, otherwise recovers its contents.
+ */
 export function openStorage(
   options: StorageOptions,
 ): ResultAsync<OpenedStorage, StorageError> {
   const { files, settingsId, identitySuffix } = options;
   return safeTry(async function* () {
-    const found = yield* files.list();
-    for (const name of found.filter((n) => n.endsWith(ASIDE_SUFFIX))) {
+    const existingNames = yield* files.list();
+    for (
+      const name of existingNames.filter((n) => n.endsWith(TEMPORARY_SUFFIX))
+    ) {
       yield* files.remove(name);
     }
-    const isNew = !found.includes(IDENTITY_FILE);
+    const isNew = !existingNames.includes(IDENTITY_FILE);
     if (isNew) {
-      yield* createFirstSegment(files, found);
+      yield* createFirstSegment(files, existingNames);
     }
     const replicaId = isNew
       ? yield* createIdentity(files, settingsId, identitySuffix)
@@ -101,7 +108,9 @@
     const stored = yield* readNewestSnapshot(files, names);
     const replayed = yield* replaySegments(files, names);
     const recovered = yield* recover(replayed.log, stored)
-      .mapErr((reason) => createDamage(replayed.names[0]!, 0, reason));
+      .mapErr((reason) =>
+        createDataDamagedError(replayed.names[0]!, 0, reason)
+      );
     const tail = yield* openTail(files, replayed);
     const { log } = replayed;
     const storage = new Storage({ ...options, log, tail });
@@ -113,35 +122,43 @@
   });
 }
 
-/** The identity is written last: without it, nothing was ever answered for. */
+/**
+ * Creates the first segment of a new folder. The identity is written after it,
+ * so a folder without one has never acknowledged a write.
+ */
 function createFirstSegment(
   files: Files,
-  found: readonly string[],
+  existingNames: readonly string[],
 ): FileResult<void> {
   return safeTry(async function* () {
     const first = formatSegmentName(1);
-    const others = [...listSegments(found), ...listSnapshots(found)]
+    const otherNames = [
+      ...listSegments(existingNames),
+      ...listSnapshots(existingNames),
+    ]
       .filter((name) => name !== first);
-    if (others.length > 0) {
-      const reason = `it is missing, but there is ${others[0]}`;
-      return err(createDamage(IDENTITY_FILE, 0, reason));
+    if (otherNames.length > 0) {
+      const reason = `identity file is missing, but the folder contains ${
+        otherNames[0]
+      }`;
+      return err(createDataDamagedError(IDENTITY_FILE, 0, reason));
     }
-    if (found.includes(first)) {
+    if (existingNames.includes(first)) {
       const { log } = yield* replaySegments(files, [first]);
       if (log.entries.length > 0 || log.hardState.term > 0) {
-        const reason = "it is missing, but the log is not empty";
-        return err(createDamage(IDENTITY_FILE, 0, reason));
+        const reason = "identity file is missing, but the log is not empty";
+        return err(createDataDamagedError(IDENTITY_FILE, 0, reason));
       }
     }
     const head: LogRecord = { ...EMPTY_LOG, type: "SegmentCompacted" };
-    yield* writeWholeFile(files, first, encodeWholeFile(head));
+    yield* replaceFile(files, first, encodeRecordFile(head));
     return ok(undefined);
   });
 }
 
 /**
- * Cuts a torn write off and syncs: what was read may have reached the file,
- * but not the disk, before the process ended.
+ * Opens the last segment, truncates a torn write and syncs: the bytes read may
+ * have been in the page cache only when the previous process ended.
  */
 function openTail(
   files: Files,
@@ -163,16 +180,16 @@
   });
 }
 
-/** What a storage is built from. */
-interface StorageParts extends StorageOptions {
+/** Options and recovered state of a storage. */
+interface StorageState extends StorageOptions {
   readonly log: ReplayedLog;
   readonly tail: Tail;
 }
 
 /**
- * Writes in the order of the calls, one at a time. After a failure that leaves
- * open what is on the disk, every further call fails, and the process must
- * start anew to find out.
+ * Storage of one replica. Performs writes one at a time, in the order of the
+ * calls. After a failure that leaves the disk contents unknown, every further
+ * call fails, and the process must be restarted to recover.
  */
 export class Storage implements AsyncDisposable {
   readonly #files: Files;
@@ -183,31 +200,33 @@
   #stopped: StorageError | undefined;
   #queue: Promise<unknown> = Promise.resolve();
 
-  constructor(parts: StorageParts) {
-    this.#files = parts.files;
-    this.#segmentBytes = parts.segmentBytes ?? SEGMENT_BYTES;
-    this.#log = parts.log;
-    this.#tail = parts.tail;
+  constructor(state: StorageState) {
+    this.#files = state.files;
+    this.#segmentBytes = state.segmentBytes ?? DEFAULT_SEGMENT_BYTES;
+    this.#log = state.log;
+    this.#tail = state.tail;
   }
 
-  /** Appends one write; it may be answered for once this resolves. */
+  /** Appends one write; it is durable once this resolves. */
   append(write: LogWrite): ResultAsync<void, StorageError> {
     return this.#enqueue(() => this.#append(write));
   }
 
-  /** Keeps a snapshot and drops the log that it covers, as one step. */
+  /** Saves a snapshot and drops the log that it covers, atomically. */
   saveSnapshot(stored: StoredSnapshot): ResultAsync<void, StorageError> {
     return this.#enqueue(() => this.#saveSnapshot(stored));
   }
 
-  /** Ends a compaction that was cut short after its snapshot was kept. */
+  /**
+   * Completes a compaction that was interrupted after its snapshot was saved.
+   */
   compact(stored: StoredSnapshot): ResultAsync<void, StorageError> {
     return this.#enqueue(() => this.#compact(stored));
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     await this.#queue;
-    this.#stopped ??= { type: "StorageStopped", cause: "it was closed" };
+    this.#stopped ??= { type: "StorageStopped", cause: "storage was closed" };
     await this.#tail.file.close();
   }
 
@@ -242,8 +261,9 @@
   }
 
   /**
-   * A failed write is cut off again, so that a full disk only refuses. After a
-   * failed sync nobody knows what the disk holds (Rebello et al., 2020).
+   * Writes and syncs one record. A failed write is truncated, so that a full
+   * disk fails the write but does not stop storage. After a failed sync the
+   * disk contents are unknown (Rebello et al., 2020), so storage stops.
    */
   #writeRecord(
     file: OpenFile,
@@ -281,18 +301,22 @@
         this.#log = log;
         this.#tail = { ...this.#tail, names: this.#tail.names.slice(-1) };
       }
-      yield* this.#removeStale(lastIndex);
+      yield* this.#removeStaleFiles(lastIndex);
       return ok(undefined);
     }.bind(this));
   }
 
-  /** Once a new segment's name is synced, none is written after its start. */
+  /**
+   * Starts a segment with `head`. Once its directory entry is synced, it is the
+   * last segment on disk, so a failure stops storage: nothing may be appended
+   * to the one before it.
+   */
   #startSegment(head: LogRecord): FileResult<void> {
     return safeTry(async function* (this: Storage) {
       const { names, file: old } = this.#tail;
       const name = formatSegmentName(getSegmentSequence(names.at(-1)!) + 1);
-      const bytes = encodeWholeFile(head);
-      yield* writeWholeFile(this.#files, name, bytes)
+      const bytes = encodeRecordFile(head);
+      yield* replaceFile(this.#files, name, bytes)
         .mapErr((error) => this.#stop(error));
       const file = yield* this.#files.open(name)
         .mapErr((error) => this.#stop(error));
@@ -303,7 +327,7 @@
     }.bind(this));
   }
 
-  #removeStale(lastIndex: number): FileResult<void> {
+  #removeStaleFiles(lastIndex: number): FileResult<void> {
     return safeTry(async function* (this: Storage) {
       const names = yield* this.#files.list();
       const newest = formatSnapshotName(lastIndex);
@@ -326,7 +350,10 @@
   }
 }
 
-/** Until its first sync, a file that is written aside is nobody's. */
+/**
+ * Returns whether a file replacement failed before the first sync: the
+ * temporary file is then unused, and the contents of the folder are known.
+ */
 function isBeforeSync(error: StorageError): boolean {
   return error.type === "FileFailed" &&
     (error.operation === "create" || error.operation === "write");
--- a/src/engine/storage/node/whole_file.ts
+++ b/src/engine/storage/node/whole_file.ts
@@ -1,4 +1,6 @@
-/** Files of one record that are written aside, synced and renamed. */
+/**
+ * Files with a single record, replaced atomically by way of a temporary file.
+ */
 import { err, ok, type Result, safeTry } from "neverthrow";
 import {
   decodeMessage,
@@ -13,16 +15,16 @@
   readFileRecords,
 } from "./record_codec.ts";
 
-/** Ends the names of files that are not yet whole. */
-export const ASIDE_SUFFIX = ".tmp";
+/** Suffix of the names of temporary files, which may be incomplete. */
+export const TEMPORARY_SUFFIX = ".tmp";
 
-/** A tagged record. */
-export interface Tagged {
+/** A record with a type tag. */
+export interface TaggedRecord {
   readonly type: string;
 }
 
-/** Encodes a file that holds `record` alone. */
-export function encodeWholeFile(record: Tagged): Uint8Array {
+/** Encodes a file that contains only `record`. */
+export function encodeRecordFile(record: TaggedRecord): Uint8Array {
   const payload = encodeMessage(record);
   return Buffer.concat([
     encodeFileHeader(),
@@ -30,26 +32,29 @@
   ]);
 }
 
-/** Writes `bytes` aside, syncs, renames, and syncs the folder. */
-export function writeWholeFile(
+/**
+ * Writes a temporary file, syncs it, renames it to `name`, and syncs the
+ * folder.
+ */
+export function replaceFile(
   files: Files,
   name: string,
   bytes: Uint8Array,
 ): FileResult<void> {
   return safeTry(async function* () {
-    const aside = `${name}${ASIDE_SUFFIX}`;
-    const file = yield* files.create(aside);
+    const temporaryName = `${name}${TEMPORARY_SUFFIX}`;
+    const file = yield* files.create(temporaryName);
     const written = await file.write(bytes, 0).andThen(() => file.sync());
     yield* file.close();
     yield* written;
-    yield* files.rename(aside, name);
+    yield* files.rename(temporaryName, name);
     yield* files.syncFolder();
     return ok(undefined);
   });
 }
 
-/** Reads a file of one record; anything torn or missing in it is damage. */
-export function readWholeFile<T extends Tagged>(
+/** Reads a file with a single record; an incomplete record is damage. */
+export function readRecordFile<T extends TaggedRecord>(
   files: Files,
   name: string,
 ): FileResult<T> {
@@ -60,26 +65,28 @@
       bytes,
     );
     if (payloads.length !== 1 || tornBytes > 0) {
-      return err(createDamage(name, endBytes, "file is incomplete"));
+      return err(createDataDamagedError(name, endBytes, "file is incomplete"));
     }
     return decodeRecord<T>(name, FILE_HEADER_BYTES, payloads[0]!);
   });
 }
 
-/** Decodes a record whose checksum holds. */
-export function decodeRecord<T extends Tagged>(
+/** Decodes a record whose checksum has been verified. */
+export function decodeRecord<T extends TaggedRecord>(
   file: string,
   offsetBytes: number,
   payload: Uint8Array,
 ): Result<T, StorageError> {
   const record = decodeMessage<T>(payload);
   return record === undefined
-    ? err(createDamage(file, offsetBytes, "record is not a known one"))
+    ? err(
+      createDataDamagedError(file, offsetBytes, "record cannot be decoded"),
+    )
     : ok(record);
 }
 
-/** Creates the error for a place that doesn't hold. */
-export function createDamage(
+/** Creates the error for invalid data at `offsetBytes`. */
+export function createDataDamagedError(
   file: string,
   offsetBytes: number,
   reason: string,
--- a/src/engine/storage/test/data_folder_test.ts
+++ b/src/engine/storage/test/data_folder_test.ts
@@ -1,4 +1,6 @@
-/** Data folders on the disk: lock, identity and durability of real files. */
+/**
+ * Tests of data folders on disk: lock, identity and durability of real files.
+ */
 import {
   mkdtempSync,
   readdirSync,
@@ -28,7 +30,7 @@
 
   afterEach(() => rmSync(root, { recursive: true, force: true }));
 
-  it("may be read by its owner alone: it holds keys of callers", async () => {
+  it("is readable only by its owner, since it contains keys of callers", async () => {
     const first = await openOk();
     const write = createWrite([createEntry(1)]);
     (await first.storage.append(write))._unsafeUnwrap();
@@ -41,7 +43,7 @@
     }
   });
 
-  it("keeps entries and identity over restarts, and cuts a tail", async () => {
+  it("keeps entries and identity over restarts, and truncates a torn tail", async () => {
     const first = await openOk();
     expect(first.isNew).to.equal(true);
     for (const index of [1, 2, 3]) {
@@ -73,23 +75,23 @@
     expect(second.replicaId).not.to.equal(first.replicaId);
   });
 
-  it("has one writer, and takes over from one that has ended", async () => {
+  it("allows one writer, and replaces the lock of a process that has ended", async () => {
     const first = await openOk();
     const second = await openDataFolder(folder, "control-a");
     expect(second._unsafeUnwrapErr())
       .to.deep.equal({ type: "FolderLocked", folder, pid: process.pid });
     const lock = join(folder, LOCK_FILE);
-    const held = readFileSync(lock, "utf8");
+    const lockText = readFileSync(lock, "utf8");
     await close(first);
-    const stamp = JSON.parse(held) as { pid: number; startedAt: string };
+    const stamp = JSON.parse(lockText) as { pid: number; startedAt: string };
     const reused = { ...stamp, startedAt: "1@an-earlier-boot" };
     writeFileSync(lock, JSON.stringify(reused));
     const third = await openOk();
-    expect(readFileSync(lock, "utf8")).to.equal(held);
+    expect(readFileSync(lock, "utf8")).to.equal(lockText);
     await close(third);
   });
 
-  it("opens over a stale lock where the starter keeps others out", async () => {
+  it("ignores a stale lock when opened without locking", async () => {
     await close(await openOk());
     const stamp = { pid: process.pid, startedAt: "" };
     writeFileSync(join(folder, LOCK_FILE), JSON.stringify(stamp));
--- a/src/engine/storage/test/memory_files.ts
+++ b/src/engine/storage/test/memory_files.ts
@@ -1,17 +1,20 @@
-/** A folder in memory that tells what is synced, and can fail or crash. */
+/**
+ * An in-memory folder that tracks what is synced, with injected faults and
+ * crashes.
+ */
 import { errAsync, okAsync } from "neverthrow";
 import type { FileResult, Files, OpenFile } from "../common/files.ts";
 import type { FileOperation } from "../common/storage_error.ts";
 
-/** What reaches the disk when the machine goes down. */
+/** What survives on disk when the machine crashes. */
 export interface Crash {
-  /** Whether names that were not synced survive. */
+  /** Whether unsynced changes of names survive. */
   readonly keepsNames: boolean;
-  /** Whether bytes that were not synced survive. */
+  /** Whether unsynced bytes survive. */
   readonly keepsBytes: boolean;
 }
 
-/** Every way in which a crash may go. */
+/** All combinations of what a crash may keep. */
 export const CRASHES: readonly Crash[] = [
   { keepsNames: false, keepsBytes: false },
   { keepsNames: false, keepsBytes: true },
@@ -19,27 +22,30 @@
   { keepsNames: true, keepsBytes: true },
 ];
 
-interface Node {
+interface FileNode {
   bytes: Uint8Array;
   synced: Uint8Array;
 }
 
-/** Code with which an operation fails; undefined lets it pass. */
+/**
+ * Returns the error code with which an operation fails; undefined if it
+ * succeeds.
+ */
 export type Fault = (
   operation: FileOperation,
   sequence: number,
 ) => string | undefined;
 
-/** A folder of nodes. */
+/** An in-memory folder. */
 export class MemoryFiles implements Files {
-  /** Called for each operation that changes something. */
+  /** Called before each operation that changes or opens something. */
   fault: Fault = () => undefined;
-  /** Operations so far that changed something. */
-  count = 0;
-  #names = new Map<string, Node>();
-  #syncedNames = new Map<string, Node>();
+  /** Number of such operations so far. */
+  operationCount = 0;
+  #names = new Map<string, FileNode>();
+  #syncedNames = new Map<string, FileNode>();
 
-  /** The folder as a restarted process finds it after a crash. */
+  /** Returns the folder as found by a restarted process after a crash. */
   recover(crash: Crash): MemoryFiles {
     const next = new MemoryFiles();
     const names = crash.keepsNames ? this.#names : this.#syncedNames;
@@ -54,19 +60,19 @@
     return this.#names.get(name)!.bytes;
   }
 
-  /** Lists the names there are. */
+  /** Names of the existing files, sorted. */
   get names(): readonly string[] {
     return [...this.#names.keys()].toSorted();
   }
 
-  /** Puts a synced file. */
+  /** Adds or replaces a file that is synced. */
   put(name: string, bytes: Uint8Array): void {
     const node = { bytes, synced: bytes };
     this.#names.set(name, node);
     this.#syncedNames.set(name, node);
   }
 
-  /** Drops a file. */
+  /** Deletes a file, also from what is synced. */
   delete(name: string): void {
     this.#names.delete(name);
     this.#syncedNames.delete(name);
@@ -119,7 +125,7 @@
     });
   }
 
-  #open(name: string, node: Node): OpenFile {
+  #open(name: string, node: FileNode): OpenFile {
     const write = (bytes: Uint8Array, positionBytes: number) => {
       const size = Math.max(node.bytes.length, positionBytes + bytes.length);
       const next = new Uint8Array(size);
@@ -153,7 +159,7 @@
     change: () => T,
     changeHalf: () => void = () => {},
   ): FileResult<T> {
-    const code = this.fault(operation, this.count++);
+    const code = this.fault(operation, this.operationCount++);
     if (code !== undefined) {
       changeHalf();
       return fail(operation, name, code);
