--- a/src/engine/storage/test/storage_faults_test.ts
+++ b/src/engine/storage/test/storage_faults_test.ts
@@ -1,4 +1,4 @@
-/** Each file operation failing, and the machine going down at each. */
+/** Fault injection: each file operation fails, or the machine crashes at it. */
 import { expect } from "chai";
 import type { Result } from "neverthrow";
 import type { Recovered } from "../../consensus/common/log_types.ts";
@@ -12,7 +12,7 @@
   createWrite,
   listEntries,
   openFailing,
-  openOk,
+  openSuccessfully,
 } from "./storage_fixture.ts";
 
 const SEGMENT_BYTES = 250;
@@ -21,7 +21,7 @@
   readonly run: (
     storage: Storage,
   ) => PromiseLike<Result<void, StorageError>>;
-  /** What a restart must find after it. */
+  /** Recovered state that a restart must find after the step. */
   readonly after: string;
 }
 
@@ -47,9 +47,9 @@
   return { run: (storage) => storage.saveSnapshot(stored), after };
 }
 
-/** Hard state term and vote, last index of the snapshot, entries. */
+/** Term and vote of the hard state, last index of the snapshot, entries. */
 const START = "0 - 0 []";
-const STEPS: readonly Step[] = [
+const WRITE_STEPS: readonly Step[] = [
   append(1, 1, "1 v1 0 [1:1]"),
   append(2, 1, "1 v2 0 [1:1 1:2]"),
   append(3, 1, "1 v3 0 [1:1 1:2 1:3]"),
@@ -73,20 +73,20 @@
 
 interface Run {
   readonly files: MemoryFiles;
-  /** Steps that were answered for. */
+  /** Number of steps acknowledged. */
   readonly done: number;
   readonly errors: readonly StorageError[];
 }
 
-/** Runs the steps until one fails twice. */
+/** Runs the steps, each at most twice, until one fails twice. */
 async function runSteps(fault: Fault): Promise<Run> {
   const files = new MemoryFiles();
-  const { storage } = await openOk(files, SEGMENT_BYTES);
-  files.count = 0;
+  const { storage } = await openSuccessfully(files, SEGMENT_BYTES);
+  files.operationCount = 0;
   files.fault = fault;
   const errors: StorageError[] = [];
   let done = 0;
-  for (const step of STEPS) {
+  for (const step of WRITE_STEPS) {
     let result = await step.run(storage);
     if (result.isErr()) {
       errors.push(result.error);
@@ -101,31 +101,37 @@
   return { files, done, errors };
 }
 
-/** What may be found: the steps answered for, and perhaps the one after. */
+/** Lists the states that may be recovered: after `done` steps, or one more. */
 function listAllowed(done: number): readonly string[] {
-  return [START, ...STEPS.map(({ after }) => after)].slice(done, done + 2);
+  return [START, ...WRITE_STEPS.map(({ after }) => after)].slice(
+    done,
+    done + 2,
+  );
 }
 
-async function checkCrash(run: Run, crash: Crash, what: string) {
+async function checkCrash(run: Run, crash: Crash, context: string) {
   const files = run.files.recover(crash);
-  const { recovered, storage } = await openOk(files, SEGMENT_BYTES);
-  const found = describeRecovered(recovered);
-  expect(listAllowed(run.done), what).to.include(found);
+  const { recovered, storage } = await openSuccessfully(files, SEGMENT_BYTES);
+  const recoveredText = describeRecovered(recovered);
+  expect(listAllowed(run.done), context).to.include(recoveredText);
   const term = recovered.hardState.term + 1;
   const hardState = { term, votedFor: "again" };
   (await storage.append(createWrite([], { hardState })))._unsafeUnwrap();
-  const again = await openOk(files.recover(CRASHES[0]!), SEGMENT_BYTES);
-  expect(again.recovered.hardState, what).to.deep.equal(hardState);
+  const reopened = await openSuccessfully(
+    files.recover(CRASHES[0]!),
+    SEGMENT_BYTES,
+  );
+  expect(reopened.recovered.hardState, context).to.deep.equal(hardState);
 }
 
 async function countOperations(): Promise<number> {
   const run = await runSteps(() => undefined);
-  expect(run.done).to.equal(STEPS.length);
-  return run.files.count;
+  expect(run.done).to.equal(WRITE_STEPS.length);
+  return run.files.operationCount;
 }
 
 describe("storage faults", () => {
-  it("keeps each step that was answered for without any fault", async () => {
+  it("keeps each acknowledged step without any fault", async () => {
     const run = await runSteps(() => undefined);
     expect(run.files.names.length).to.equal(3);
     for (const crash of CRASHES) {
@@ -133,33 +139,35 @@
     }
   });
 
-  it("loses nothing answered for when an operation fails once", async () => {
+  it("loses no acknowledged step when an operation fails once", async () => {
     const count = await countOperations();
     expect(count).to.be.greaterThan(50);
-    for (let at = 0; at < count; at++) {
-      const run = await runSteps((_, n) => n === at ? "EIO" : undefined);
-      expect(run.errors.length, `operation ${at}`).to.be.greaterThan(0);
+    for (let position = 0; position < count; position++) {
+      const run = await runSteps((_, n) => n === position ? "EIO" : undefined);
+      expect(run.errors.length, `operation ${position}`).to.be.greaterThan(0);
       for (const crash of CRASHES) {
-        const what = `operation ${at}, ${JSON.stringify(crash)}`;
-        await checkCrash(run, crash, what);
+        const context = `operation ${position}, ${JSON.stringify(crash)}`;
+        await checkCrash(run, crash, context);
       }
     }
   });
 
-  it("loses nothing answered for when it goes down at any point", async () => {
+  it("loses no acknowledged step when the machine crashes at any point", async () => {
     const count = await countOperations();
-    for (let at = 0; at < count; at++) {
-      const run = await runSteps((_, n) => n >= at ? "EIO" : undefined);
+    for (let position = 0; position < count; position++) {
+      const run = await runSteps((_, n) => n >= position ? "EIO" : undefined);
       for (const crash of CRASHES) {
-        const what = `down at ${at}, ${JSON.stringify(crash)}`;
-        await checkCrash(run, crash, what);
+        const context = `crash at operation ${position}, ${
+          JSON.stringify(crash)
+        }`;
+        await checkCrash(run, crash, context);
       }
     }
   });
 
   it("writes no more after a sync has failed", async () => {
     const files = new MemoryFiles();
-    const { storage } = await openOk(files);
+    const { storage } = await openSuccessfully(files);
     files.fault = (operation) => operation === "sync" ? "EIO" : undefined;
     const first = await storage.append(createWrite([createEntry(1)]));
     files.fault = () => undefined;
@@ -168,40 +176,40 @@
     expect(second._unsafeUnwrapErr().type).to.equal("StorageStopped");
   });
 
-  it("reports a full disk, claims nothing and goes on with space", async () => {
+  it("reports a full disk, stores nothing, and continues once there is space", async () => {
     const files = new MemoryFiles();
-    const { storage } = await openOk(files);
+    const { storage } = await openSuccessfully(files);
     (await storage.append(createWrite([createEntry(1)])))._unsafeUnwrap();
     files.fault = (operation) => operation === "write" ? "ENOSPC" : undefined;
     const refused = await storage.append(createWrite([createEntry(2)]));
     expect(refused._unsafeUnwrapErr()).to.include({ code: "ENOSPC" });
-    const full = await openOk(files.recover(CRASHES[3]!));
+    const full = await openSuccessfully(files.recover(CRASHES[3]!));
     expect(listEntries(full.recovered.entries)).to.deep.equal(["1:1"]);
     files.fault = () => undefined;
     (await storage.append(createWrite([createEntry(2)])))._unsafeUnwrap();
-    const { recovered } = await openOk(files.recover(CRASHES[0]!));
+    const { recovered } = await openSuccessfully(files.recover(CRASHES[0]!));
     expect(listEntries(recovered.entries)).to.deep.equal(["1:1", "1:2"]);
   });
 
-  it("leaves nothing of a failed write behind a shorter one", async () => {
+  it("leaves no bytes of a failed write after a shorter one", async () => {
     const files = new MemoryFiles();
-    const { storage } = await openOk(files);
+    const { storage } = await openSuccessfully(files);
     const long = { ...createEntry(1), payload: Buffer.alloc(900, 7) };
     files.fault = (operation) => operation === "write" ? "ENOSPC" : undefined;
     expect((await storage.append(createWrite([long]))).isErr()).to.equal(true);
     files.fault = () => undefined;
     (await storage.append(createWrite([createEntry(1)])))._unsafeUnwrap();
-    const { recovered } = await openOk(files.recover(CRASHES[0]!));
+    const { recovered } = await openSuccessfully(files.recover(CRASHES[0]!));
     expect(listEntries(recovered.entries)).to.deep.equal(["1:1"]);
   });
 
-  it("starts again after going down at any point of the first start", async () => {
-    for (let at = 0;; at++) {
+  it("starts again after a crash at any point of the first start", async () => {
+    for (let position = 0;; position++) {
       const files = new MemoryFiles();
-      files.fault = (_, n) => n >= at ? "EIO" : undefined;
+      files.fault = (_, n) => n >= position ? "EIO" : undefined;
       const outcome = await openFailing(files);
       for (const crash of CRASHES) {
-        const { recovered } = await openOk(files.recover(crash));
+        const { recovered } = await openSuccessfully(files.recover(crash));
         expect(describeRecovered(recovered)).to.equal(START);
       }
       if (outcome === "opened") {
--- a/src/engine/storage/test/storage_fixture.ts
+++ b/src/engine/storage/test/storage_fixture.ts
@@ -1,4 +1,4 @@
-/** Storage in memory, entries and snapshots for the tests of storage. */
+/** In-memory storage, entries and snapshots for the tests of storage. */
 import type { LogEntry, Snapshot } from "../../consensus/common/log_types.ts";
 import type { LogWrite } from "../common/log_replay.ts";
 import { describeStorageError } from "../common/storage_error.ts";
@@ -6,8 +6,8 @@
 import type { OpenedStorage } from "../node/storage.ts";
 import type { MemoryFiles } from "./memory_files.ts";
 
-/** Opens storage and expects that it can be. */
-export async function openOk(
+/** Opens storage; throws if that fails. */
+export async function openSuccessfully(
   files: MemoryFiles,
   segmentBytes?: number,
 ): Promise<OpenedStorage> {
@@ -24,12 +24,12 @@
   return opened.isErr() ? opened.error.type : "opened";
 }
 
-/** Creates an entry with a payload that tells its place. */
+/** Creates an entry whose payload contains its term and index. */
 export function createEntry(index: number, term = 1): LogEntry {
   return { index, term, payload: Buffer.from(`${term}:${index}`.repeat(3)) };
 }
 
-/** Creates a write of entries alone. */
+/** Creates a write of entries, with any other changes in `rest`. */
 export function createWrite(
   entries: readonly LogEntry[],
   rest: Partial<LogWrite> = {},
--- a/src/engine/storage/test/storage_test.ts
+++ b/src/engine/storage/test/storage_test.ts
@@ -8,22 +8,24 @@
   createWrite,
   listEntries,
   openFailing,
-  openOk,
+  openSuccessfully,
 } from "./storage_fixture.ts";
 
 const LOG = "log-0000000001";
 
-/** Writes five records and returns where each ends. */
+/**
+ * Writes five records; returns the end of the head record and of each of these.
+ */
 async function writeLog(files: MemoryFiles): Promise<readonly number[]> {
-  const { storage } = await openOk(files);
-  const ends = [files.get(LOG).length];
+  const { storage } = await openSuccessfully(files);
+  const recordEnds = [files.get(LOG).length];
   for (let index = 1; index <= 5; index++) {
     const hardState = { term: index, votedFor: "a" };
     const write = createWrite([createEntry(index)], { hardState });
     (await storage.append(write))._unsafeUnwrap();
-    ends.push(files.get(LOG).length);
+    recordEnds.push(files.get(LOG).length);
   }
-  return ends;
+  return recordEnds;
 }
 
 function putChanged(
@@ -39,13 +41,13 @@
 }
 
 describe("storage", () => {
-  it("recovers what was written, over a truncated suffix", async () => {
+  it("recovers written entries, with a suffix truncated and replaced", async () => {
     const files = new MemoryFiles();
     await writeLog(files);
-    const { storage } = await openOk(files);
+    const { storage } = await openSuccessfully(files);
     const write = createWrite([createEntry(4, 2)], { truncateFrom: 4 });
     (await storage.append(write))._unsafeUnwrap();
-    const { recovered } = await openOk(files);
+    const { recovered } = await openSuccessfully(files);
     expect(listEntries(recovered.entries))
       .to.deep.equal(["1:1", "1:2", "1:3", "2:4"]);
     expect(recovered.entries[3]!.payload)
@@ -53,20 +55,22 @@
     expect(recovered.hardState).to.deep.equal({ term: 5, votedFor: "a" });
   });
 
-  it("keeps exactly the whole records, wherever the file is cut", async () => {
+  it("keeps exactly the complete records, wherever the file is truncated", async () => {
     const files = new MemoryFiles();
-    const ends = await writeLog(files);
-    for (let size = ends[1]!; size <= ends[5]!; size++) {
+    const recordEnds = await writeLog(files);
+    for (let size = recordEnds[1]!; size <= recordEnds[5]!; size++) {
       const cut = files.recover({ keepsNames: true, keepsBytes: true });
       cut.put(LOG, files.get(LOG).slice(0, size));
-      const whole = ends.findLastIndex((end) => end <= size);
-      const first = await openOk(cut);
-      expect(first.recovered.entries.length, `cut at ${size}`).to.equal(whole);
+      const whole = recordEnds.findLastIndex((end) => end <= size);
+      const first = await openSuccessfully(cut);
+      expect(first.recovered.entries.length, `cut at ${size}`).to.equal(
+        whole,
+      );
       expect(first.recovered.hardState.term).to.equal(whole);
-      expect(first.cutBytes).to.equal(size - ends[whole]!);
+      expect(first.cutBytes).to.equal(size - recordEnds[whole]!);
       const next = createWrite([createEntry(whole + 1, 9)]);
       (await first.storage.append(next))._unsafeUnwrap();
-      const { recovered, cutBytes } = await openOk(cut);
+      const { recovered, cutBytes } = await openSuccessfully(cut);
       expect(recovered.entries.at(-1)!.term).to.equal(9);
       expect(cutBytes).to.equal(0);
     }
@@ -76,40 +80,46 @@
     const files = new MemoryFiles();
     await writeLog(files);
     const size = files.get(LOG).length;
-    for (let at = 0; at < size; at++) {
-      const flipped = putChanged(files, LOG, (bytes) => bytes[at]! ^= 0x10);
-      expect(await openFailing(flipped), `byte ${at}`).to.equal("DataDamaged");
+    for (let offset = 0; offset < size; offset++) {
+      const flipped = putChanged(files, LOG, (bytes) => bytes[offset]! ^= 0x10);
+      expect(await openFailing(flipped), `byte ${offset}`).to.equal(
+        "DataDamaged",
+      );
     }
   });
 
-  it("cuts off a tail that was never written to the disk", async () => {
+  it("truncates a tail whose sectors were never written", async () => {
     const files = new MemoryFiles();
-    const ends = await writeLog(files);
-    const zeroed = putChanged(files, LOG, (bytes) => bytes.fill(0, ends[4]!));
-    const { recovered } = await openOk(zeroed);
+    const recordEnds = await writeLog(files);
+    const zeroed = putChanged(
+      files,
+      LOG,
+      (bytes) => bytes.fill(0, recordEnds[4]!),
+    );
+    const { recovered } = await openSuccessfully(zeroed);
     expect(recovered.entries.length).to.equal(4);
   });
 
-  it("refuses a hole of zeroes that records follow", async () => {
+  it("refuses zeroed sectors that are followed by records", async () => {
     const files = new MemoryFiles();
-    const { storage } = await openOk(files);
-    const ends: number[] = [];
+    const { storage } = await openSuccessfully(files);
+    const recordEnds: number[] = [];
     for (let index = 1; index <= 4; index++) {
       const entry = { ...createEntry(index), payload: Buffer.alloc(2_000, 7) };
       (await storage.append(createWrite([entry])))._unsafeUnwrap();
-      ends.push(files.get(LOG).length);
+      recordEnds.push(files.get(LOG).length);
     }
     const holed = putChanged(
       files,
       LOG,
-      (bytes) => bytes.fill(0, ends[1]!, ends[2]!),
+      (bytes) => bytes.fill(0, recordEnds[1]!, recordEnds[2]!),
     );
     expect(await openFailing(holed)).to.equal("DataDamaged");
   });
 
-  it("refuses a missing or damaged file of each sort", async () => {
+  it("refuses a missing or damaged file of each kind", async () => {
     const files = new MemoryFiles();
-    const { storage } = await openOk(files, 1);
+    const { storage } = await openSuccessfully(files, 1);
     for (let index = 1; index <= 4; index++) {
       (await storage.append(createWrite([createEntry(index)])))
         ._unsafeUnwrap();
@@ -137,7 +147,7 @@
 
   it("refuses a log from whose middle a vote is missing", async () => {
     const files = new MemoryFiles();
-    const { storage } = await openOk(files, 1);
+    const { storage } = await openSuccessfully(files, 1);
     for (const term of [1, 2, 3]) {
       const hardState = { term, votedFor: "a" };
       (await storage.append(createWrite([], { hardState })))._unsafeUnwrap();
@@ -148,7 +158,7 @@
 
   it("refuses a format version that it does not know", async () => {
     const files = new MemoryFiles();
-    const { storage } = await openOk(files);
+    const { storage } = await openSuccessfully(files);
     (await storage.append(createWrite([createEntry(1)])))._unsafeUnwrap();
     const snapshot = createSnapshot(1);
     (await storage.saveSnapshot({ snapshot, discardsLog: false }))
@@ -163,7 +173,7 @@
 
   it("refuses the folder of another replica", async () => {
     const files = new MemoryFiles();
-    const { replicaId } = await openOk(files);
+    const { replicaId } = await openSuccessfully(files);
     expect(replicaId).to.equal("control-a~0a1b");
     const other = await openStorageAs(files, "control-b");
     expect(other).to.equal("FolderForeign");
