--- a/src/daemon/replica_disk.ts
+++ b/src/daemon/replica_disk.ts
@@ -1,5 +1,5 @@
 /** Carries a replica's writes to its data folder, and says when they last. */
-import { createFoundingSnapshot } from "../engine/consensus/common/recovery.ts";
+import { createBootstrapSnapshot } from "../engine/consensus/common/recovery.ts";
 import type {
   ReplicationEffect,
   ReplicationEvent,
@@ -62,7 +62,7 @@
       case "StoreFounding": {
         const { configuration } = effect;
         const payload = new Uint8Array();
-        const snapshot = createFoundingSnapshot(configuration, payload);
+        const snapshot = createBootstrapSnapshot(configuration, payload);
         return storage.saveSnapshot({ snapshot, discardsLog: false });
       }
     }
--- a/src/engine/consensus/common/recovery.ts
+++ b/src/engine/consensus/common/recovery.ts
@@ -34,7 +34,7 @@
  * Creates the snapshot that bootstraps a replica set. Each initial voter writes
  * it once, before its first start, and never onto a disk that was wiped.
  */
-export function createFoundingSnapshot(
+export function createBootstrapSnapshot(
   configuration: Configuration,
   payload: Uint8Array,
 ): Snapshot {
--- a/src/engine/consensus/test/replica_set.ts
+++ b/src/engine/consensus/test/replica_set.ts
@@ -12,7 +12,7 @@
 } from "../common/consensus_types.ts";
 import type { Configuration, Recovered } from "../common/log_types.ts";
 import {
-  createFoundingSnapshot,
+  createBootstrapSnapshot,
   EMPTY_DISK,
   restoreConsensus,
 } from "../common/recovery.ts";
@@ -104,7 +104,7 @@
       readGatherMs,
     };
     this.checker = new SafetyChecker(options.configuration);
-    const snapshot = createFoundingSnapshot(
+    const snapshot = createBootstrapSnapshot(
       options.configuration,
       encoder.encode("[]"),
     );
--- a/src/engine/control/common/founding.ts
+++ b/src/engine/control/common/founding.ts
@@ -1,6 +1,6 @@
 /** Founds the replica set: once, and only while every voter is empty. */
 import { createReduction } from "../../../base/common/reduction.ts";
-import { createFoundingSnapshot } from "../../consensus/common/recovery.ts";
+import { createBootstrapSnapshot } from "../../consensus/common/recovery.ts";
 import type { Configuration } from "../../consensus/common/log_types.ts";
 import type {
   Peer,
@@ -47,7 +47,7 @@
   state: ReplicationState,
   configuration: Configuration,
 ): ReplicationState {
-  const snapshot = createFoundingSnapshot(configuration, new Uint8Array());
+  const snapshot = createBootstrapSnapshot(configuration, new Uint8Array());
   return {
     ...state,
     isStoringFounding: false,
--- a/src/engine/control/test/replicas.ts
+++ b/src/engine/control/test/replicas.ts
@@ -13,7 +13,7 @@
 } from "../../storage/common/log_replay.ts";
 import type { PresenceMessage } from "../../membership/common/presence_messages.ts";
 import type { TableChange } from "../../table/common/table_reducer.ts";
-import { createFoundingSnapshot } from "../../consensus/common/recovery.ts";
+import { createBootstrapSnapshot } from "../../consensus/common/recovery.ts";
 import type { EditResult } from "../../link/common/cluster_messages.ts";
 import { createControl } from "../common/control_state.ts";
 import { reduceReplica } from "../common/replica_reducer.ts";
@@ -219,7 +219,7 @@
       case "StoreFounding": {
         const { configuration } = effect;
         const payload = new Uint8Array();
-        const snapshot = createFoundingSnapshot(configuration, payload);
+        const snapshot = createBootstrapSnapshot(configuration, payload);
         disk.snapshot = { snapshot, discardsLog: false };
         this.dispatch(id, { type: "FoundingStored", configuration });
         return;
