--- a/src/engine/storage/test/storage_faults_test.ts
+++ b/src/engine/storage/test/storage_faults_test.ts
@@ -152,7 +152,7 @@
     }
   });
 
-  it("loses no acknowledged step when the machine crashes at any point", async () => {
+  it("loses nothing answered for when it goes down at any point", async () => {
     const count = await countOperations();
     for (let position = 0; position < count; position++) {
       const run = await runSteps((_, n) => n >= position ? "EIO" : undefined);
--- a/src/engine/storage/test/storage_test.ts
+++ b/src/engine/storage/test/storage_test.ts
@@ -55,7 +55,7 @@
     expect(recovered.hardState).to.deep.equal({ term: 5, votedFor: "a" });
   });
 
-  it("keeps exactly the complete records, wherever the file is truncated", async () => {
+  it("keeps exactly the whole records, wherever the file is cut", async () => {
     const files = new MemoryFiles();
     const recordEnds = await writeLog(files);
     for (let size = recordEnds[1]!; size <= recordEnds[5]!; size++) {
