--- a/soak/soak_callers.ts
+++ b/soak/soak_callers.ts
@@ -73,7 +73,7 @@
   const sentAtMs = performance.now();
   const text = formatRequest({
     requestId,
-    patienceMs: PATIENCE_MS,
+    callerTimeoutMs: PATIENCE_MS,
     isTransfer,
   });
   const read = await exchange(socket, text, staysMs);
