--- a/soak/soak_checks.ts
+++ b/soak/soak_checks.ts
@@ -1,12 +1,12 @@
 /** What must hold of a soak, from what callers and backend servers saw. */
-import type { SeenRequest } from "../platform/standin/standin_backend.ts";
+import type { BackendRun } from "../platform/standin/standin_backend.ts";
 import type { SoakOutcome } from "./soak_callers.ts";
 import type { PlannedStop } from "./soak_fleet.ts";
 
 /** All that was seen. */
 export interface SoakRecord {
   readonly outcomes: readonly SoakOutcome[];
-  readonly runs: readonly SeenRequest[];
+  readonly runs: readonly BackendRun[];
   readonly stops: readonly PlannedStop[];
   /** Spans in which some process was frozen, slowed, killed or started. */
   readonly disturbances: readonly Disturbance[];
@@ -29,7 +29,7 @@
 /** Lists what was broken, a line each. */
 export function listFaults(record: SoakRecord): readonly string[] {
   const { outcomes, runs, stops } = record;
-  const runsById = new Map<string, readonly SeenRequest[]>();
+  const runsById = new Map<string, readonly BackendRun[]>();
   for (const run of runs) {
     const before = runsById.get(run.requestId) ?? [];
     runsById.set(run.requestId, [...before, run]);
@@ -57,7 +57,7 @@
     (!hasSeal || body !== `answer to ${requestId}`);
 }
 
-function isUntrue(outcome: SoakOutcome, runs: readonly SeenRequest[]): boolean {
+function isUntrue(outcome: SoakOutcome, runs: readonly BackendRun[]): boolean {
   const { isTransfer, status } = outcome;
   return isTransfer && NOT_RUN.has(status ?? 0) && runs.length > 0;
 }
@@ -65,7 +65,7 @@
 /** Counts from the end of the last disturbance, where that came later. */
 function listLate(
   outcome: SoakOutcome,
-  runs: readonly SeenRequest[],
+  runs: readonly BackendRun[],
   { disturbances }: SoakRecord,
 ): readonly string[] {
   if (outcome.end !== "left") {
@@ -87,7 +87,7 @@
 /** A request that has run, or was read, ends with an answer in calm times. */
 function isLost(
   { end, sentAtMs, endedAtMs }: SoakOutcome,
-  runs: readonly SeenRequest[],
+  runs: readonly BackendRun[],
   { disturbances }: SoakRecord,
 ): boolean {
   const isCalm = disturbances.every(({ startMs, endMs }) =>
--- a/soak/soak_fleet.ts
+++ b/soak/soak_fleet.ts
@@ -12,7 +12,7 @@
   PlatformProcess,
   ProgramRole,
 } from "../platform/standin/platform_fleet.ts";
-import type { SeenRequest } from "../platform/standin/standin_backend.ts";
+import type { BackendRun } from "../platform/standin/standin_backend.ts";
 
 /** How large a soak is. */
 export interface SoakSize {
@@ -64,8 +64,8 @@
   }
 
   /** Requests that backend servers began to run. */
-  listRuns(): readonly SeenRequest[] {
-    return this.#backends.flatMap(({ backend }) => backend.ran);
+  listRuns(): readonly BackendRun[] {
+    return this.#backends.flatMap(({ backend }) => backend.runs);
   }
 
   /** Last moment at which any process did not run freely. */
@@ -101,7 +101,7 @@
       process.child.kill("SIGKILL");
       await waitForExit(process.child);
       await sleep(downMs);
-      member.process = await this.#fleet.startAgain(member.role, process);
+      member.process = await this.#fleet.startExited(member.role, process);
     });
   }
 
@@ -122,7 +122,7 @@
     this.stops.push({ name, tookMs, exitCode });
     process.child.kill("SIGKILL");
     await waitForExit(process.child);
-    member.process = await this.#fleet.startAgain(member.role, process);
+    member.process = await this.#fleet.startExited(member.role, process);
     member.isBusy = false;
   }
 
@@ -162,7 +162,7 @@
     }
     for (let at = 0; at < backends; at += 1) {
       const node = await this.#fleet.startNode("back", SLOTS);
-      node.backend.workMs = WORK_MS;
+      node.backend.serviceTimeMs = WORK_MS;
       this.#backends.push(node);
       this.#add("node", `back-${at}`, node);
     }
--- a/soak/tree_soak.ts
+++ b/soak/tree_soak.ts
@@ -108,7 +108,7 @@
   let count = 0;
   while (performance.now() < endMs) {
     const { service } = LEVELS[Math.floor(random() * LEVELS.length)]!;
-    const member = { service, at: Math.floor(random() * nodesPerService) };
+    const member = { service, index: Math.floor(random() * nodesPerService) };
     const [kind, strength, length] = [random(), random(), random()];
     if (open.size < overlapping && !busy.has(service)) {
       busy.add(service);
@@ -141,7 +141,7 @@
     await sleep(length * MAX_LOSS_MS);
     fleet.loseAnswers(0, nodes);
   } else if (kind < 0.8) {
-    await fleet.freeze(member, length * MAX_FREEZE_MS);
+    await fleet.pause(member, length * MAX_FREEZE_MS);
   } else {
     await fleet.restart(member);
   }
