--- a/soak/soak_fleet.ts
+++ b/soak/soak_fleet.ts
@@ -101,7 +101,7 @@
       process.child.kill("SIGKILL");
       await waitForExit(process.child);
       await sleep(downMs);
-      member.process = await this.#fleet.startExited(member.role, process);
+      member.process = await this.#fleet.startReplacement(member.role, process);
     });
   }
 
@@ -122,7 +122,7 @@
     this.stops.push({ name, tookMs, exitCode });
     process.child.kill("SIGKILL");
     await waitForExit(process.child);
-    member.process = await this.#fleet.startExited(member.role, process);
+    member.process = await this.#fleet.startReplacement(member.role, process);
     member.isBusy = false;
   }
 
