--- a/src/daemon/node_daemon.ts
+++ b/src/daemon/node_daemon.ts
@@ -23,8 +23,8 @@
 import type { Announcement } from "../engine/membership/common/announcement.ts";
 import { isServiceKnown } from "../engine/routing/common/routing_state.ts";
 import {
-  HINT_CONNECTIONS,
   HintPoller,
+  MAX_HINT_CONNECTIONS,
 } from "../engine/routing/node/hint_poller.ts";
 import { PeerClient } from "../engine/peer/node/peer_client.ts";
 import { TRACE_VERSION } from "../engine/trace/common/trace_format.ts";
@@ -218,7 +218,7 @@
 
   #createCalls(dispatch: (event: NodeEvent) => void): CallServer {
     const { listen, backend } = this.#settings;
-    const hintConnections = hasHints(this.#settings) ? HINT_CONNECTIONS : 0;
+    const hintConnections = hasHints(this.#settings) ? MAX_HINT_CONNECTIONS : 0;
     return new CallServer({
       loop: this.#watch,
       noteConnection: () => {
--- a/src/engine/call/test/load_hint_test.ts
+++ b/src/engine/call/test/load_hint_test.ts
@@ -115,7 +115,8 @@
     for (let n = 0; n < 50; n += 1) {
       expect(passCall(caller, served)).to.equal("100");
     }
-    const { ejection, failures, refusals } = readView(caller);
+    const { ejection, failureShare: failures, refusalShare: refusals } =
+      readView(caller);
     expect(ejection).to.equal(undefined);
     expect([failures, refusals]).to.deep.equal([0, 0]);
   });
--- a/src/engine/routing/common/backend_view.ts
+++ b/src/engine/routing/common/backend_view.ts
@@ -7,19 +7,19 @@
   /** Attempts of this node that are under way. */
   readonly inFlight: number;
   /** Last end of an attempt, or the start of the first one since idle. */
-  readonly progressAtMs: number;
+  readonly lastProgressAtMs: number;
   /** Last end of an attempt; what was seen before it fades. */
-  readonly seenAtMs: number;
+  readonly updatedAtMs: number;
   /** Time of an attempt over the usual time of its kind; 1 is usual. */
-  readonly slowness: number;
+  readonly latencyRatio: number;
   /** Attempts that gave a time since the start or the last ejection. */
-  readonly samples: number;
+  readonly sampleCount: number;
   /** Share of failed attempts, decaying, 0 to 1. */
-  readonly failures: number;
+  readonly failureShare: number;
   /** Share of refused attempts, decaying, 0 to 1. */
-  readonly refusals: number;
+  readonly refusalShare: number;
   /** When its share of the work began to grow. */
-  readonly rampFromMs: number;
+  readonly rampStartMs: number;
   readonly ejection: Ejection | undefined;
   /** Ejections in a row; sets the next back-off. */
   readonly ejectionCount: number;
@@ -49,22 +49,22 @@
 }
 
 /** Time until a new backend server gets its full share, in milliseconds. */
-export const RAMP_MS = 10_000;
+export const RAMP_DURATION_MS = 10_000;
 /** Share of a backend server that has just come. */
-const RAMP_START = 0.1;
+const INITIAL_RAMP_SHARE = 0.1;
 /** Weight of a new sample in the shares of failures and refusals. */
 const RESULT_GAIN = 0.2;
 /** Weight of a faster sample; a slower one weighs in by `RISE_GAIN`. */
-const FALL_GAIN = 0.1;
-const RISE_GAIN = 0.3;
+const LATENCY_FALL_GAIN = 0.1;
+const LATENCY_RISE_GAIN = 0.3;
 /** One sample counts at most this much, so that one can't eject by itself. */
 const MAX_SAMPLE_RATIO = 20;
 /** Shortest time without progress that counts as a stall. */
 const MIN_STALL_MS = 50;
 /** Time constant of the fading, in milliseconds. */
-const FADE_MS = 2_000;
-const FAILURE_WEIGHT = 8;
-const REFUSAL_WEIGHT = 2;
+const DECAY_TIME_CONSTANT_MS = 2_000;
+const FAILURE_COST_FACTOR = 8;
+const REFUSAL_COST_FACTOR = 2;
 
 /** Creates the view of a backend server that was not seen before. */
 export function createView(
@@ -74,13 +74,13 @@
   return {
     announcement,
     inFlight: 0,
-    progressAtMs: 0,
-    seenAtMs: 0,
-    slowness: 1,
-    samples: 0,
-    failures: 0,
-    refusals: 0,
-    rampFromMs,
+    lastProgressAtMs: 0,
+    updatedAtMs: 0,
+    latencyRatio: 1,
+    sampleCount: 0,
+    failureShare: 0,
+    refusalShare: 0,
+    rampStartMs: rampFromMs,
     ejection: undefined,
     ejectionCount: 0,
     restoredAtMs: 0,
@@ -89,11 +89,14 @@
 }
 
 /** Notes that an attempt was sent. */
-export function noteStart(view: BackendView, nowMs: number): BackendView {
+export function recordAttemptStart(
+  view: BackendView,
+  nowMs: number,
+): BackendView {
   return {
     ...view,
     inFlight: view.inFlight + 1,
-    progressAtMs: view.inFlight === 0 ? nowMs : view.progressAtMs,
+    lastProgressAtMs: view.inFlight === 0 ? nowMs : view.lastProgressAtMs,
   };
 }
 
@@ -102,7 +105,7 @@
  * this side gave up is no failure: it tells only that the attempt would have
  * taken at least so long, which counts where it is longer than was known.
  */
-export function noteEnd(
+export function recordAttemptEnd(
   view: BackendView,
   seen: { readonly report: AttemptReport; readonly ratio: number },
   nowMs: number,
@@ -111,18 +114,25 @@
   const { result } = report;
   const isOver = result !== "cancelled";
   const hasAnswer = isOver && result !== "failed";
-  const isTimed = result === "answered" || (!isOver && ratio > view.slowness);
+  const isTimed = result === "answered" ||
+    (!isOver && ratio > view.latencyRatio);
   const failed = result === "failed" ? 1 : 0;
   const refused = result === "refused" ? 1 : 0;
   return {
     ...view,
     inFlight: Math.max(0, view.inFlight - 1),
-    progressAtMs: isOver ? nowMs : view.progressAtMs,
-    seenAtMs: isOver || isTimed ? nowMs : view.seenAtMs,
-    slowness: isTimed ? mixSlowness(view.slowness, ratio) : view.slowness,
-    samples: view.samples + (isTimed ? 1 : 0),
-    failures: isOver ? mix(view.failures, failed, RESULT_GAIN) : view.failures,
-    refusals: isOver ? mix(view.refusals, refused, RESULT_GAIN) : view.refusals,
+    lastProgressAtMs: isOver ? nowMs : view.lastProgressAtMs,
+    updatedAtMs: isOver || isTimed ? nowMs : view.updatedAtMs,
+    latencyRatio: isTimed
+      ? updateLatencyRatio(view.latencyRatio, ratio)
+      : view.latencyRatio,
+    sampleCount: view.sampleCount + (isTimed ? 1 : 0),
+    failureShare: isOver
+      ? updateAverage(view.failureShare, failed, RESULT_GAIN)
+      : view.failureShare,
+    refusalShare: isOver
+      ? updateAverage(view.refusalShare, refused, RESULT_GAIN)
+      : view.refusalShare,
     hintedLoad: hasAnswer ? report.hintedLoad : view.hintedLoad,
   };
 }
@@ -131,29 +141,29 @@
  * Slowness with what is still under way: a backend server that ends nothing
  * for longer than its slowest kind usually takes counts as that slow.
  */
-export function computeSlowness(
+export function computeLatencyRatio(
   view: BackendView,
   slowestUsualMs: number,
   nowMs: number,
 ): number {
-  const seen = 1 + (view.slowness - 1) * computeFade(view, nowMs);
+  const seen = 1 + (view.latencyRatio - 1) * computeDecay(view, nowMs);
   if (view.inFlight === 0) {
     return seen;
   }
-  const stalledMs = nowMs - view.progressAtMs;
+  const stalledMs = nowMs - view.lastProgressAtMs;
   const expectedMs = Math.max(MIN_STALL_MS, slowestUsualMs);
   return Math.max(seen, stalledMs / expectedMs);
 }
 
 /** Share of its slots that a backend server gets, 0.1 to 1. */
-export function computeRamp(view: BackendView, nowMs: number): number {
-  const grown = (nowMs - view.rampFromMs) / RAMP_MS;
-  return Math.min(1, Math.max(RAMP_START, grown));
+export function computeRampShare(view: BackendView, nowMs: number): number {
+  const grown = (nowMs - view.rampStartMs) / RAMP_DURATION_MS;
+  return Math.min(1, Math.max(INITIAL_RAMP_SHARE, grown));
 }
 
 /** Whether this node alone fills the slots that the backend server has. */
 export function isSaturated(view: BackendView, nowMs: number): boolean {
-  const slots = view.announcement.slots * computeRamp(view, nowMs);
+  const slots = view.announcement.slots * computeRampShare(view, nowMs);
   return view.inFlight >= Math.max(1, slots);
 }
 
@@ -167,24 +177,30 @@
   slowestUsualMs: number,
   nowMs: number,
 ): number {
-  const counted = view.inFlight / computeRamp(view, nowMs) + 1;
+  const counted = view.inFlight / computeRampShare(view, nowMs) + 1;
   const load = counted / view.announcement.slots;
-  const trouble = FAILURE_WEIGHT * view.failures +
-    REFUSAL_WEIGHT * view.refusals;
-  const worse = 1 + trouble * computeFade(view, nowMs);
-  return load * computeSlowness(view, slowestUsualMs, nowMs) * worse;
+  const trouble = FAILURE_COST_FACTOR * view.failureShare +
+    REFUSAL_COST_FACTOR * view.refusalShare;
+  const worse = 1 + trouble * computeDecay(view, nowMs);
+  return load * computeLatencyRatio(view, slowestUsualMs, nowMs) * worse;
 }
 
 /** What is left of an old impression, so that the unused are tried again. */
-function computeFade(view: BackendView, nowMs: number): number {
-  return Math.exp(-Math.max(0, nowMs - view.seenAtMs) / FADE_MS);
+function computeDecay(view: BackendView, nowMs: number): number {
+  return Math.exp(
+    -Math.max(0, nowMs - view.updatedAtMs) / DECAY_TIME_CONSTANT_MS,
+  );
 }
 
-function mixSlowness(current: number, ratio: number): number {
+function updateLatencyRatio(current: number, ratio: number): number {
   const sample = Math.min(MAX_SAMPLE_RATIO, ratio);
-  return mix(current, sample, sample > current ? RISE_GAIN : FALL_GAIN);
+  return updateAverage(
+    current,
+    sample,
+    sample > current ? LATENCY_RISE_GAIN : LATENCY_FALL_GAIN,
+  );
 }
 
-function mix(current: number, sample: number, gain: number): number {
+function updateAverage(current: number, sample: number, gain: number): number {
   return current + gain * (sample - current);
 }
--- a/src/engine/routing/common/load_hint.ts
+++ b/src/engine/routing/common/load_hint.ts
@@ -10,8 +10,8 @@
 }
 
 /** Load that is said of a full or an unhealthy backend server, per cent. */
-export const MAX_LOAD = 100;
-const LOAD = /^\d{1,3}$/;
+export const MAX_LOAD_PERCENT = 100;
+const LOAD_PATTERN = /^\d{1,3}$/;
 
 /**
  * Computes the load hint, in whole per cent. "Unhealthy" counts as full and no
@@ -21,16 +21,16 @@
 export function computeLoadHint(hint: HintReceived): number | undefined {
   const { isHealthy, load } = hint;
   if (isHealthy === false) {
-    return MAX_LOAD;
+    return MAX_LOAD_PERCENT;
   }
   if (load === undefined || !(load >= 0)) {
     return undefined;
   }
-  return Math.min(MAX_LOAD, Math.round(load * MAX_LOAD));
+  return Math.min(MAX_LOAD_PERCENT, Math.round(load * MAX_LOAD_PERCENT));
 }
 
 /** Reads the hint of an answer's header; undefined where it says none. */
 export function decodeLoadHint(text: string): number | undefined {
-  const load = LOAD.test(text) ? Number(text) : MAX_LOAD + 1;
-  return load <= MAX_LOAD ? load : undefined;
+  const load = LOAD_PATTERN.test(text) ? Number(text) : MAX_LOAD_PERCENT + 1;
+  return load <= MAX_LOAD_PERCENT ? load : undefined;
 }
--- a/src/engine/routing/common/routing_reducer.ts
+++ b/src/engine/routing/common/routing_reducer.ts
@@ -4,10 +4,14 @@
 import type { Reduction } from "../../../base/common/reduction.ts";
 import { isNewerAnnouncement } from "../../membership/common/announcement.ts";
 import type { Announcement } from "../../membership/common/announcement.ts";
-import { createView, noteEnd, noteStart } from "./backend_view.ts";
+import {
+  createView,
+  recordAttemptEnd,
+  recordAttemptStart,
+} from "./backend_view.ts";
 import type { AttemptReport, BackendView } from "./backend_view.ts";
-import { judgeView } from "./ejection.ts";
-import { EMPTY_SERVICE } from "./routing_state.ts";
+import { evaluateView } from "./ejection.ts";
+import { EMPTY_SERVICE_VIEW } from "./routing_state.ts";
 import type { RoutingState, ServiceView } from "./routing_state.ts";
 import { chooseSubset } from "./subset.ts";
 
@@ -35,17 +39,17 @@
   readonly name: string;
   readonly service: ServiceView;
   /** Whether these are the first members that are known. */
-  readonly isFirst?: boolean;
+  readonly isFirstList?: boolean;
 }
 
 /** Weight of a sample in the usual time of a kind. */
-const USUAL_GAIN = 0.05;
+const BASELINE_GAIN = 0.05;
 /** A sample moves the usual time as if at most this many times as long. */
-const USUAL_CLIP = 3;
+const MAX_BASELINE_SAMPLE_RATIO = 3;
 /** Smaller moves of the usual time aren't worth a copy for each call. */
-const USUAL_STEP = 0.01;
+const MIN_BASELINE_CHANGE_RATIO = 0.01;
 /** Least time that a ratio is taken of: below it, all noise is the same. */
-const MIN_USUAL_MS = 5;
+const MIN_LATENCY_MS = 5;
 
 /** Steps the view. Routing asks nothing of the I/O layer. */
 export function reduceRouting(
@@ -57,12 +61,12 @@
     case "MemberPublished":
       return createReduction(putMember(state, event.announcement, nowMs));
     case "MemberLost":
-      return createReduction(dropMember(state, event, nowMs));
+      return createReduction(removeMember(state, event, nowMs));
     case "MembersListed":
-      return createReduction(listService(state, event, nowMs));
+      return createReduction(replaceMembers(state, event, nowMs));
     case "AttemptStarted":
       return createReduction(
-        updateView(state, event, (view) => noteStart(view, nowMs)),
+        updateView(state, event, (view) => recordAttemptStart(view, nowMs)),
       );
     case "AttemptFinished":
       return createReduction(applyReport(state, event.report, nowMs));
@@ -79,17 +83,17 @@
   if (!isNewerAnnouncement(announcement, current)) {
     return state;
   }
-  const before = service ?? EMPTY_SERVICE;
+  const before = service ?? EMPTY_SERVICE_VIEW;
   const members = setEntry(before.members, announcement.nodeId, announcement);
   const next = { ...before, members };
-  return putService(
+  return refreshSubset(
     state,
     { name: announcement.service, service: next },
     nowMs,
   );
 }
 
-function dropMember(
+function removeMember(
   state: RoutingState,
   lost: { readonly service: string; readonly nodeId: string },
   nowMs: number,
@@ -100,11 +104,11 @@
   }
   const members = deleteEntry(service.members, lost.nodeId);
   const change = { name: lost.service, service: { ...service, members } };
-  return putService(state, change, nowMs);
+  return refreshSubset(state, change, nowMs);
 }
 
 /** A list replaces what is known, but for what is older than it. */
-function listService(
+function replaceMembers(
   state: RoutingState,
   listed: {
     readonly service: string;
@@ -113,7 +117,7 @@
   nowMs: number,
 ): RoutingState {
   const known = state.services.get(listed.service);
-  const before = known ?? EMPTY_SERVICE;
+  const before = known ?? EMPTY_SERVICE_VIEW;
   const members = new Map(listed.members.map((member) => {
     const current = before.members.get(member.nodeId);
     const isNewer = isNewerAnnouncement(member, current);
@@ -122,19 +126,19 @@
   const next = { ...before, members };
   const isFirst = known === undefined;
   const change = { name: listed.service, service: next, isFirst };
-  return putService(state, change, nowMs);
+  return refreshSubset(state, change, nowMs);
 }
 
 /**
  * Chooses the subset anew. Members of the first list are as old as they say;
  * later ones have just come, whatever their clock.
  */
-function putService(
+function refreshSubset(
   state: RoutingState,
   change: ServiceChange,
   nowMs: number,
 ): RoutingState {
-  const { name, service, isFirst = false } = change;
+  const { name, service, isFirstList: isFirst = false } = change;
   const takers = [...service.members.values()].filter((member) =>
     !member.isDraining &&
     service.drainSeen.get(member.nodeId) !== member.incarnation
@@ -144,12 +148,12 @@
   );
   const views = chooseSubset(takers, state.client).map((member) => {
     const rampFromMs = isFirst ? Math.min(nowMs, member.incarnation) : nowMs;
-    return renewView(known.get(member.nodeId), member, rampFromMs);
+    return refreshView(known.get(member.nodeId), member, rampFromMs);
   });
   return setService(state, name, { ...service, views });
 }
 
-function renewView(
+function refreshView(
   view: BackendView | undefined,
   member: Announcement,
   rampFromMs: number,
@@ -170,11 +174,11 @@
   if (before === undefined) {
     return state;
   }
-  const service = learnUsual(before, report);
-  const index = findView(service, nodeId);
+  const service = updateBaseline(before, report);
+  const index = findViewIndex(service, nodeId);
   const settled = index < 0
     ? service
-    : judgeReport(service, index, report, nowMs);
+    : recordResult(service, index, report, nowMs);
   const member = settled.members.get(nodeId);
   if (!report.isDraining || member === undefined) {
     return setService(state, name, settled);
@@ -184,28 +188,28 @@
   }
   const drainSeen = setEntry(settled.drainSeen, nodeId, member.incarnation);
   const change = { name, service: { ...settled, drainSeen } };
-  return putService(state, change, nowMs);
+  return refreshSubset(state, change, nowMs);
 }
 
-function judgeReport(
+function recordResult(
   service: ServiceView,
   index: number,
   report: AttemptReport,
   nowMs: number,
 ): ServiceView {
-  const usual = service.usualMs.get(report.kind) ?? report.latencyMs;
-  const ratio = Math.max(report.latencyMs, MIN_USUAL_MS) /
-    Math.max(usual, MIN_USUAL_MS);
+  const usual = service.baselineMs.get(report.kind) ?? report.latencyMs;
+  const ratio = Math.max(report.latencyMs, MIN_LATENCY_MS) /
+    Math.max(usual, MIN_LATENCY_MS);
   const seen = { report, ratio };
   const noted = service.views.with(
     index,
-    noteEnd(service.views[index]!, seen, nowMs),
+    recordAttemptEnd(service.views[index]!, seen, nowMs),
   );
-  return { ...service, ...judgeView(noted, index, nowMs) };
+  return { ...service, ...evaluateView(noted, index, nowMs) };
 }
 
 /** Moves the usual time of a kind; only whole answers tell it. */
-function learnUsual(
+function updateBaseline(
   service: ServiceView,
   report: AttemptReport,
 ): ServiceView {
@@ -213,16 +217,26 @@
     return service;
   }
   const { kind, latencyMs } = report;
-  const usual = service.usualMs.get(kind);
-  const sample = Math.min(latencyMs, USUAL_CLIP * (usual ?? latencyMs) + 1);
+  const usual = service.baselineMs.get(kind);
+  const sample = Math.min(
+    latencyMs,
+    MAX_BASELINE_SAMPLE_RATIO * (usual ?? latencyMs) + 1,
+  );
   const next = usual === undefined
     ? sample
-    : usual + USUAL_GAIN * (sample - usual);
-  if (usual !== undefined && Math.abs(next - usual) < USUAL_STEP * usual) {
+    : usual + BASELINE_GAIN * (sample - usual);
+  if (
+    usual !== undefined &&
+    Math.abs(next - usual) < MIN_BASELINE_CHANGE_RATIO * usual
+  ) {
     return service;
   }
-  const usualMs = setEntry(service.usualMs, kind, next);
-  return { ...service, usualMs, slowestUsualMs: Math.max(...usualMs.values()) };
+  const usualMs = setEntry(service.baselineMs, kind, next);
+  return {
+    ...service,
+    baselineMs: usualMs,
+    maxBaselineMs: Math.max(...usualMs.values()),
+  };
 }
 
 function updateView(
@@ -231,7 +245,9 @@
   update: (view: BackendView) => BackendView,
 ): RoutingState {
   const service = state.services.get(target.service);
-  const index = service === undefined ? -1 : findView(service, target.nodeId);
+  const index = service === undefined
+    ? -1
+    : findViewIndex(service, target.nodeId);
   if (service === undefined || index < 0) {
     return state;
   }
@@ -239,7 +255,7 @@
   return setService(state, target.service, { ...service, views });
 }
 
-function findView(service: ServiceView, nodeId: string): number {
+function findViewIndex(service: ServiceView, nodeId: string): number {
   return service.views.findIndex((view) => view.announcement.nodeId === nodeId);
 }
 
--- a/src/engine/routing/common/routing_state.ts
+++ b/src/engine/routing/common/routing_state.ts
@@ -12,9 +12,9 @@
   /** The subset that takes work, near ones first. */
   readonly views: readonly BackendView[];
   /** Usual time of an attempt by kind of request, in milliseconds. */
-  readonly usualMs: ReadonlyMap<string, number>;
-  readonly slowestUsualMs: number;
-  readonly isMostlyBad: boolean;
+  readonly baselineMs: ReadonlyMap<string, number>;
+  readonly maxBaselineMs: number;
+  readonly isMostlyUnhealthy: boolean;
   readonly hasEjected: boolean;
 }
 
@@ -25,13 +25,13 @@
 }
 
 /** A service whose members were not listed yet. */
-export const EMPTY_SERVICE: ServiceView = {
+export const EMPTY_SERVICE_VIEW: ServiceView = {
   members: new Map(),
   drainSeen: new Map(),
   views: [],
-  usualMs: new Map(),
-  slowestUsualMs: 0,
-  isMostlyBad: false,
+  baselineMs: new Map(),
+  maxBaselineMs: 0,
+  isMostlyUnhealthy: false,
   hasEjected: false,
 };
 
--- a/src/engine/routing/common/subset.ts
+++ b/src/engine/routing/common/subset.ts
@@ -15,9 +15,9 @@
  * about 8/M of the callers near it, so its connections stay bounded as the
  * fleet grows.
  */
-export const NEAR_SIZE = 8;
+export const NEAR_SUBSET_SIZE = 8;
 /** Backend servers of other data centres in a subset, for spilling over. */
-export const FAR_SIZE = 4;
+export const FAR_SUBSET_SIZE = 4;
 
 /**
  * Chooses a subset by rendezvous hashing (Thaler and Ravishankar, 1998), the
@@ -35,8 +35,8 @@
     (isNear ? near : far).push(member);
   }
   return [
-    ...rankMembers(near, client).slice(0, NEAR_SIZE),
-    ...rankMembers(far, client).slice(0, FAR_SIZE),
+    ...rankMembers(near, client).slice(0, NEAR_SUBSET_SIZE),
+    ...rankMembers(far, client).slice(0, FAR_SUBSET_SIZE),
   ];
 }
 
--- a/src/engine/routing/node/hint_poller.ts
+++ b/src/engine/routing/node/hint_poller.ts
@@ -14,17 +14,17 @@
 }
 
 /** Connections that the poller may hold at a time: one for each path. */
-export const HINT_CONNECTIONS = 2;
-const INTERVAL_MS = 1_000;
+export const MAX_HINT_CONNECTIONS = 2;
+const POLL_INTERVAL_MS = 1_000;
 /** A slower answer is none; shorter than the interval. */
-const TIMEOUT_MS = 500;
+const POLL_TIMEOUT_MS = 500;
 const MAX_ANSWER_BYTES = 4_096;
 
 /** Owns the polling of one backend server. */
 export class HintPoller implements AsyncDisposable {
   readonly #options: HintPollerOptions;
   readonly #agent = new Agent({
-    connections: HINT_CONNECTIONS,
+    connections: MAX_HINT_CONNECTIONS,
     pipelining: 1,
     maxResponseSize: MAX_ANSWER_BYTES,
   });
@@ -42,7 +42,7 @@
       if (!this.#isClosed) {
         this.start();
       }
-    }, INTERVAL_MS);
+    }, POLL_INTERVAL_MS);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -72,7 +72,7 @@
         origin: `http://${this.#options.address}`,
         path,
         method: "GET",
-        signal: AbortSignal.timeout(TIMEOUT_MS),
+        signal: AbortSignal.timeout(POLL_TIMEOUT_MS),
       });
       const text = await body.text();
       return { isSuccess: statusCode >= 200 && statusCode < 300, text };
--- a/src/engine/routing/test/fakes.ts
+++ b/src/engine/routing/test/fakes.ts
@@ -30,7 +30,7 @@
   };
 }
 
-interface Open {
+interface OpenAttempt {
   readonly nodeId: string;
   readonly startedAtMs: number;
   readonly endsAtMs: number;
@@ -40,7 +40,7 @@
 /** What a fake backend server does with one attempt. */
 export type Serve = (nodeId: string, nowMs: number) => {
   readonly takesMs: number;
-  readonly result?: Open["result"];
+  readonly result?: OpenAttempt["result"];
   readonly hintedLoad?: number;
 };
 
@@ -49,14 +49,14 @@
   state: RoutingState = createRouting(CLIENT);
   nowMs = 100_000;
   serve: Serve = () => ({ takesMs: 10 });
-  #open: (Open & { readonly hintedLoad: number | undefined })[] = [];
+  #open: (OpenAttempt & { readonly hintedLoad: number | undefined })[] = [];
   #next = 0;
 
   apply(event: RoutingEvent): void {
     this.state = reduceRouting(this.state, event, this.nowMs).state;
   }
 
-  list(members: readonly Announcement[]): void {
+  listMembers(members: readonly Announcement[]): void {
     this.apply({ type: "MembersListed", service: SERVICE, members });
   }
 
--- a/src/engine/routing/test/routing_test.ts
+++ b/src/engine/routing/test/routing_test.ts
@@ -3,22 +3,29 @@
 import fc from "fast-check";
 import { computeEjectionLimit } from "../common/ejection.ts";
 import { HINT_TTL_MS, selectBackend } from "../common/select_backend.ts";
-import { chooseSubset, FAR_SIZE, NEAR_SIZE } from "../common/subset.ts";
+import {
+  chooseSubset,
+  FAR_SUBSET_SIZE,
+  NEAR_SUBSET_SIZE,
+} from "../common/subset.ts";
 import { CLIENT, createMember, SERVICE, Simulation } from "./fakes.ts";
 
 const IDS = ["m-1", "m-2", "m-3", "m-4", "m-5", "m-6"];
 /** Attempts a millisecond that fill half of the slots. */
-const BUSY = 15;
+const BUSY_ATTEMPTS_PER_MS = 15;
 const MEMBERS = IDS.map((id) => createMember(id));
 
 function createSimulation(members = MEMBERS): Simulation {
   const simulation = new Simulation();
-  simulation.list(members);
+  simulation.listMembers(members);
   simulation.run(500);
   return simulation;
 }
 
-function share(counts: ReadonlyMap<string, number>, nodeId: string): number {
+function computeShare(
+  counts: ReadonlyMap<string, number>,
+  nodeId: string,
+): number {
   const total = [...counts.values()].reduce((a, b) => a + b, 0);
   return (counts.get(nodeId) ?? 0) / total;
 }
@@ -48,8 +55,8 @@
         const lost = before.filter((m) => !after.includes(m));
         const near = after.filter((m) => m.dataCentre === "dc-a");
         expect(lost.length).to.be.at.most(1);
-        expect(near.length).to.be.at.most(NEAR_SIZE);
-        expect(after.length - near.length).to.be.at.most(FAR_SIZE);
+        expect(near.length).to.be.at.most(NEAR_SUBSET_SIZE);
+        expect(after.length - near.length).to.be.at.most(FAR_SUBSET_SIZE);
       }),
       { seed: 4 },
     );
@@ -67,7 +74,7 @@
         callers.set(nodeId, (callers.get(nodeId) ?? 0) + 1);
       }
     }
-    const mean = 400 * NEAR_SIZE / members.length;
+    const mean = 400 * NEAR_SUBSET_SIZE / members.length;
     expect(callers.size).to.equal(members.length);
     expect(Math.max(...callers.values())).to.be.below(2 * mean);
   });
@@ -79,14 +86,14 @@
       createMember("near-2"),
       far,
     ]);
-    expect(share(simulation.run(500), "far")).to.equal(0);
+    expect(computeShare(simulation.run(500), "far")).to.equal(0);
     simulation.apply({
       type: "MemberPublished",
       announcement: createMember("near-1", { sequence: 1, isDraining: true }),
     });
     const drained = simulation.run(500);
-    expect(share(drained, "near-1")).to.equal(0);
-    expect(share(drained, "far")).to.be.above(0.2);
+    expect(computeShare(drained, "near-1")).to.equal(0);
+    expect(computeShare(drained, "far")).to.be.above(0.2);
   });
 
   it("spills over when the near ones have no slot left", () => {
@@ -96,7 +103,7 @@
       createMember("far", { dataCentre: "dc-b" }),
     ]);
     simulation.serve = () => ({ takesMs: 40 });
-    expect(share(simulation.run(500), "far")).to.be.above(0.5);
+    expect(computeShare(simulation.run(500), "far")).to.be.above(0.5);
   });
 });
 
@@ -104,43 +111,46 @@
   it("takes a straggler out within a second, probes it, takes it back", () => {
     const simulation = createSimulation();
     simulation.serve = (id) => ({ takesMs: id === "m-3" ? 300 : 10 });
-    simulation.run(1_000, BUSY);
-    const slow = simulation.run(2_000, BUSY);
-    expect(share(slow, "m-3")).to.be.below(0.01);
+    simulation.run(1_000, BUSY_ATTEMPTS_PER_MS);
+    const slow = simulation.run(2_000, BUSY_ATTEMPTS_PER_MS);
+    expect(computeShare(slow, "m-3")).to.be.below(0.01);
     expect(slow.get("m-3") ?? 0).to.be.above(0);
     simulation.serve = () => ({ takesMs: 10 });
     simulation.run(20_000);
-    expect(share(simulation.run(2_000), "m-3")).to.be.above(0.1);
+    expect(computeShare(simulation.run(2_000), "m-3")).to.be.above(0.1);
   });
 
   it("leaves a backend server that ends nothing, without any sample", () => {
     const simulation = createSimulation();
     simulation.serve = (id) => ({ takesMs: id === "m-3" ? 60_000 : 10 });
     simulation.run(1_000, 5);
-    expect(simulation.run(1_000, BUSY).get("m-3") ?? 0).to.be.below(5);
+    expect(simulation.run(1_000, BUSY_ATTEMPTS_PER_MS).get("m-3") ?? 0).to.be
+      .below(5);
   });
 
   it("takes a failing one out though it fails fast", () => {
     const simulation = createSimulation();
     simulation.serve = (id) =>
       id === "m-3" ? { takesMs: 1, result: "failed" } : { takesMs: 10 };
-    simulation.run(200, BUSY);
-    expect(share(simulation.run(2_000, BUSY), "m-3")).to.be.below(0.001);
+    simulation.run(200, BUSY_ATTEMPTS_PER_MS);
+    expect(computeShare(simulation.run(2_000, BUSY_ATTEMPTS_PER_MS), "m-3")).to
+      .be.below(0.001);
   });
 
   it("counts no cancellation by a caller against a backend server", () => {
     const simulation = createSimulation();
     simulation.serve = (id) =>
       id === "m-3" ? { takesMs: 5, result: "cancelled" } : { takesMs: 10 };
-    expect(share(simulation.run(2_000), "m-3")).to.be.above(0.1);
+    expect(computeShare(simulation.run(2_000), "m-3")).to.be.above(0.1);
   });
 
   it("counts a deadline that passed as at least so slow", () => {
     const simulation = createSimulation();
     simulation.serve = (id) =>
       id === "m-3" ? { takesMs: 200, result: "cancelled" } : { takesMs: 10 };
-    simulation.run(1_000, BUSY);
-    expect(share(simulation.run(4_000, BUSY), "m-3")).to.be.below(0.002);
+    simulation.run(1_000, BUSY_ATTEMPTS_PER_MS);
+    expect(computeShare(simulation.run(4_000, BUSY_ATTEMPTS_PER_MS), "m-3")).to
+      .be.below(0.002);
   });
 
   it("never ejects more than a third, nor any when most look bad", () => {
@@ -172,9 +182,9 @@
     const simulation = createSimulation();
     const renewed = createMember("m-3", { incarnation: 2 });
     simulation.apply({ type: "MemberPublished", announcement: renewed });
-    const first = share(simulation.run(500, 4), "m-3");
+    const first = computeShare(simulation.run(500, 4), "m-3");
     simulation.run(10_000);
-    const later = share(simulation.run(500, 4), "m-3");
+    const later = computeShare(simulation.run(500, 4), "m-3");
     expect(first).to.be.below(later / 2);
     expect(first).to.be.above(0);
   });
@@ -208,27 +218,27 @@
       hintedLoad: id === "m-3" ? 0 : 1,
     });
     simulation.run(500);
-    const lying = share(simulation.run(2_000), "m-3");
+    const lying = computeShare(simulation.run(2_000), "m-3");
     const honest = createSimulation();
     honest.serve = (id) => ({ takesMs: id === "m-3" ? 30 : 10 });
     honest.run(500);
-    const without = share(honest.run(2_000), "m-3");
+    const without = computeShare(honest.run(2_000), "m-3");
     expect(lying).to.be.below(without + 0.1);
     expect(lying).to.be.below(1 / IDS.length);
   });
 
   it("forgets a hint for which a backend server got no work", () => {
     const simulation = new Simulation();
-    simulation.list([createMember("m-1"), createMember("m-2")]);
+    simulation.listMembers([createMember("m-1"), createMember("m-2")]);
     let hints: Readonly<Record<string, number>> = { "m-1": 0, "m-2": 100 };
     // One attempt at a time, so that all is a tie.
     simulation.serve = (id) => ({ takesMs: 1, hintedLoad: hints[id]! });
     simulation.run(1_000);
     const shunned = simulation.run(HINT_TTL_MS);
-    expect(share(shunned, "m-2")).to.be.within(0.0001, 0.1);
+    expect(computeShare(shunned, "m-2")).to.be.within(0.0001, 0.1);
     hints = { "m-1": 100, "m-2": 0 };
     simulation.run(2 * HINT_TTL_MS);
-    expect(share(simulation.run(1_000), "m-2")).to.be.greaterThan(0.9);
+    expect(computeShare(simulation.run(1_000), "m-2")).to.be.greaterThan(0.9);
   });
 
   it("never returns to a backend server that the call tried", () => {
