--- a/src/engine/link/common/link_messages.ts
+++ b/src/engine/link/common/link_messages.ts
@@ -116,9 +116,9 @@
   | ClusterMessage;
 
 /** How often a node says that it lives. */
-export const HEARTBEAT_MS = 1_000;
+export const HEARTBEAT_INTERVAL_MS = 1_000;
 /** Silence after which the other end is given up. */
-export const LINK_SILENCE_MS = 3_500;
+export const LINK_TIMEOUT_MS = 3_500;
 
 /** Whether a message is one that replicas exchange. */
 export function isPresenceMessage(
--- a/src/engine/link/common/link_reducer.ts
+++ b/src/engine/link/common/link_reducer.ts
@@ -2,7 +2,7 @@
 import { hashText } from "../../../base/common/hash.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { Reduction } from "../../../base/common/reduction.ts";
-import { LINK_SILENCE_MS } from "./link_messages.ts";
+import { LINK_TIMEOUT_MS } from "./link_messages.ts";
 
 /** The one link of a process. Times are wall clocks in milliseconds. */
 export interface LinkState {
@@ -11,16 +11,16 @@
   readonly pace: LinkPace;
   /** `host:port`, nearest first. */
   readonly replicas: readonly string[];
-  readonly index: number;
+  readonly replicaIndex: number;
   /** Counts the links that were opened; names the present one. */
   readonly linkNumber: number;
   readonly phase: "waiting" | "connecting" | "open";
   /** When the next link is opened, while waiting. */
   readonly openAtMs: number;
-  readonly heardMs: number;
+  readonly lastReceivedAtMs: number;
   readonly openedAtMs: number;
   /** Links that failed since one worked. */
-  readonly failures: number;
+  readonly consecutiveFailures: number;
   readonly unconfirmedSinceMs: number | undefined;
   /** Replicas left in a row for want of a quorum. */
   readonly unconfirmedCount: number;
@@ -69,23 +69,23 @@
 export type LinkStep = Reduction<LinkState, LinkEffect>;
 
 /** Longest time that opening a link may take. */
-export const CONNECT_MS = 1_500;
+export const CONNECT_TIMEOUT_MS = 1_500;
 /** First backoff, in milliseconds; doubled with each round. */
-export const FIRST_BACKOFF_MS = 250;
+export const MIN_BACKOFF_MS = 250;
 /** Longest backoff, in milliseconds. */
 export const MAX_BACKOFF_MS = 5_000;
 /** How long a replica without a quorum is kept at first. */
-export const UNCONFIRMED_MS = 5_000;
+export const MIN_UNCONFIRMED_MS = 5_000;
 /** How long one is kept at most: a fleet that searches is a load. */
 export const MAX_UNCONFIRMED_MS = 320_000;
 /** When a process goes back to its nearest replica, at the least. */
-export const RETURN_MS = 60_000;
+export const MIN_RETURN_MS = 60_000;
 /** The pace where the settings name no other. */
-export const DEFAULT_PACE: LinkPace = {
-  connectMs: CONNECT_MS,
-  silenceMs: LINK_SILENCE_MS,
+export const DEFAULT_LINK_TIMING: LinkPace = {
+  connectMs: CONNECT_TIMEOUT_MS,
+  silenceMs: LINK_TIMEOUT_MS,
   maxBackoffMs: MAX_BACKOFF_MS,
-  unconfirmedMs: UNCONFIRMED_MS,
+  unconfirmedMs: MIN_UNCONFIRMED_MS,
   maxUnconfirmedMs: MAX_UNCONFIRMED_MS,
 };
 const MAX_RETURN_MS = 960_000;
@@ -95,22 +95,22 @@
 export function createLink(
   id: string,
   replicas: readonly string[],
-  pace: LinkPace = DEFAULT_PACE,
+  pace: LinkPace = DEFAULT_LINK_TIMING,
 ): LinkState {
   return {
     id,
     pace,
     replicas,
-    index: 0,
+    replicaIndex: 0,
     linkNumber: 0,
     phase: "waiting",
     openAtMs: 0,
-    heardMs: 0,
+    lastReceivedAtMs: 0,
     openedAtMs: 0,
-    failures: 0,
+    consecutiveFailures: 0,
     unconfirmedSinceMs: undefined,
     unconfirmedCount: 0,
-    returnAfterMs: RETURN_MS,
+    returnAfterMs: MIN_RETURN_MS,
   };
 }
 
@@ -124,7 +124,7 @@
     return tick(state, nowMs);
   }
   if (event.type === "ReplicasLearned") {
-    return createReduction(learnReplicas(state, event.replicas));
+    return createReduction(updateReplicas(state, event.replicas));
   }
   if (event.linkNumber !== state.linkNumber || state.phase === "waiting") {
     return createReduction(state);
@@ -139,9 +139,9 @@
         unconfirmedSinceMs: undefined,
       });
     case "LinkClosed":
-      return createReduction(failLink(state, nowMs));
+      return createReduction(recordFailure(state, nowMs));
     case "MessageReceived":
-      return createReduction(noteMessage(state, event.isConfirmed, nowMs));
+      return createReduction(recordMessage(state, event.isConfirmed, nowMs));
   }
 }
 
@@ -152,20 +152,20 @@
         ? createReduction(state)
         : openLink(state, nowMs);
     case "connecting":
-      return nowMs - state.heardMs > state.pace.connectMs
-        ? closeLink(state, failLink(state, nowMs))
+      return nowMs - state.lastReceivedAtMs > state.pace.connectMs
+        ? closeLink(state, recordFailure(state, nowMs))
         : createReduction(state);
     case "open":
-      return checkOpen(state, nowMs);
+      return checkOpenLink(state, nowMs);
   }
 }
 
 /** The replica in use keeps its place; those that are new come last. */
-function learnReplicas(
+function updateReplicas(
   state: LinkState,
   learned: readonly string[],
 ): LinkState {
-  const current = state.replicas[state.index]!;
+  const current = state.replicas[state.replicaIndex]!;
   const kept = state.replicas
     .filter((replica) => replica === current || learned.includes(replica));
   const added = learned.filter((replica) => !kept.includes(replica));
@@ -173,12 +173,12 @@
     return state;
   }
   const replicas = [...kept, ...added];
-  return { ...state, replicas, index: replicas.indexOf(current) };
+  return { ...state, replicas, replicaIndex: replicas.indexOf(current) };
 }
 
-function checkOpen(state: LinkState, nowMs: number): LinkStep {
-  if (nowMs - state.heardMs > state.pace.silenceMs) {
-    return closeLink(state, failLink(state, nowMs));
+function checkOpenLink(state: LinkState, nowMs: number): LinkStep {
+  if (nowMs - state.lastReceivedAtMs > state.pace.silenceMs) {
+    return closeLink(state, recordFailure(state, nowMs));
   }
   const { unconfirmedSinceMs, unconfirmedCount, replicas } = state;
   const { unconfirmedMs, maxUnconfirmedMs } = state.pace;
@@ -188,29 +188,29 @@
   const isUnconfirmed = unconfirmedSinceMs !== undefined &&
     nowMs - unconfirmedSinceMs > patienceMs;
   if (isUnconfirmed && replicas.length > 1) {
-    const index = (state.index + 1) % replicas.length;
+    const index = (state.replicaIndex + 1) % replicas.length;
     return closeLink(state, {
-      ...waitLink(state, index, nowMs),
+      ...scheduleLink(state, index, nowMs),
       unconfirmedCount: unconfirmedCount + 1,
     });
   }
-  const isReturnDue = state.index > 0 && unconfirmedCount === 0 &&
+  const isReturnDue = state.replicaIndex > 0 && unconfirmedCount === 0 &&
     nowMs - state.openedAtMs > state.returnAfterMs * (1 + computeJitter(state));
   if (!isReturnDue) {
     return createReduction(state);
   }
   const returnAfterMs = Math.min(MAX_RETURN_MS, state.returnAfterMs * 2);
-  return closeLink(state, { ...waitLink(state, 0, nowMs), returnAfterMs });
+  return closeLink(state, { ...scheduleLink(state, 0, nowMs), returnAfterMs });
 }
 
 function openLink(state: LinkState, nowMs: number): LinkStep {
   const linkNumber = state.linkNumber + 1;
-  const replica = state.replicas[state.index]!;
+  const replica = state.replicas[state.replicaIndex]!;
   const next: LinkState = {
     ...state,
     linkNumber,
     phase: "connecting",
-    heardMs: nowMs,
+    lastReceivedAtMs: nowMs,
   };
   return createReduction(next, [{ type: "OpenLink", replica, linkNumber }]);
 }
@@ -220,16 +220,18 @@
   return createReduction(next, [{ type: "CloseLink", linkNumber }]);
 }
 
-function noteMessage(
+function recordMessage(
   state: LinkState,
   isConfirmed: boolean | undefined,
   nowMs: number,
 ): LinkState {
   const heard: LinkState = {
     ...state,
-    heardMs: nowMs,
-    failures: 0,
-    returnAfterMs: state.index === 0 ? RETURN_MS : state.returnAfterMs,
+    lastReceivedAtMs: nowMs,
+    consecutiveFailures: 0,
+    returnAfterMs: state.replicaIndex === 0
+      ? MIN_RETURN_MS
+      : state.returnAfterMs,
   };
   switch (isConfirmed) {
     case undefined:
@@ -244,26 +246,31 @@
 }
 
 /** A link that worked is replaced by the nearest other one. */
-function failLink(state: LinkState, nowMs: number): LinkState {
-  const { replicas, index, failures } = state;
+function recordFailure(state: LinkState, nowMs: number): LinkState {
+  const { replicas, replicaIndex: index, consecutiveFailures: failures } =
+    state;
   const isWorking = state.phase === "open" && failures === 0;
   const nearest = index === 0 ? 1 : 0;
   const next = isWorking ? nearest : index + 1;
   const failed = { ...state, failures: failures + 1 };
-  return waitLink(failed, next % replicas.length, nowMs);
+  return scheduleLink(failed, next % replicas.length, nowMs);
 }
 
 /** Waits with a backoff that grows with each round over all replicas. */
-function waitLink(state: LinkState, index: number, nowMs: number): LinkState {
-  const round = Math.floor(state.failures / state.replicas.length);
+function scheduleLink(
+  state: LinkState,
+  index: number,
+  nowMs: number,
+): LinkState {
+  const round = Math.floor(state.consecutiveFailures / state.replicas.length);
   const backoffMs = Math.min(
     state.pace.maxBackoffMs,
-    FIRST_BACKOFF_MS * 2 ** Math.min(round, MAX_DOUBLINGS),
+    MIN_BACKOFF_MS * 2 ** Math.min(round, MAX_DOUBLINGS),
   );
   const delayMs = backoffMs * (1 + computeJitter(state)) / 2;
   return {
     ...state,
-    index,
+    replicaIndex: index,
     phase: "waiting",
     openAtMs: nowMs + delayMs,
     unconfirmedSinceMs: undefined,
--- a/src/engine/link/common/node_inbox.ts
+++ b/src/engine/link/common/node_inbox.ts
@@ -6,7 +6,7 @@
 import type { ControlMessage, NodeMessage } from "./link_messages.ts";
 
 /** What a node knows that a message is read against. */
-export interface InboxView {
+export interface InboxContext {
   readonly table: Table;
   readonly isServiceKnown: (service: string) => boolean;
 }
@@ -31,7 +31,7 @@
 /** Reads one message. */
 export function readControlMessage(
   message: ControlMessage,
-  view: InboxView,
+  view: InboxContext,
 ): InboxResult {
   switch (message.type) {
     case "TableUpdate":
@@ -75,7 +75,7 @@
 /** A replica that has just started doesn't know whom it leaves out. */
 function readMemberList(
   message: Extract<ControlMessage, { type: "MemberList" }>,
-  view: InboxView,
+  view: InboxContext,
 ): InboxResult {
   const { service, members, isComplete } = message;
   if (isComplete || !view.isServiceKnown(service)) {
--- a/src/engine/link/common/subscriptions.ts
+++ b/src/engine/link/common/subscriptions.ts
@@ -5,9 +5,9 @@
 export type Subscriptions = ReadonlyMap<string, number>;
 
 /** A service that isn't called for so long is unsubscribed. */
-export const DISUSE_MS = 600_000;
+export const SUBSCRIPTION_IDLE_MS = 600_000;
 /** Calls within so long of the last one noted cost nothing. */
-const NOTE_MS = 60_000;
+const RECORD_INTERVAL_MS = 60_000;
 
 /** Notes a call; the same map where the service was noted a moment ago. */
 export function noteUse(
@@ -16,7 +16,7 @@
   nowMs: number,
 ): Subscriptions {
   const usedAtMs = subscriptions.get(service);
-  return usedAtMs !== undefined && nowMs - usedAtMs < NOTE_MS
+  return usedAtMs !== undefined && nowMs - usedAtMs < RECORD_INTERVAL_MS
     ? subscriptions
     : setEntry(subscriptions, service, nowMs);
 }
@@ -27,6 +27,6 @@
   nowMs: number,
 ): readonly string[] {
   return [...subscriptions]
-    .filter(([, usedAtMs]) => nowMs - usedAtMs > DISUSE_MS)
+    .filter(([, usedAtMs]) => nowMs - usedAtMs > SUBSCRIPTION_IDLE_MS)
     .map(([service]) => service);
 }
--- a/src/engine/link/node/link_client.ts
+++ b/src/engine/link/node/link_client.ts
@@ -9,8 +9,12 @@
 import type { ProcessClock } from "../../telemetry/common/process_clock.ts";
 import { encodeClocked } from "./clocked_message.ts";
 import type { Clocked } from "./clocked_message.ts";
-import { HEARTBEAT_MS } from "../common/link_messages.ts";
-import { CONNECT_MS, createLink, reduceLink } from "../common/link_reducer.ts";
+import { HEARTBEAT_INTERVAL_MS } from "../common/link_messages.ts";
+import {
+  CONNECT_TIMEOUT_MS,
+  createLink,
+  reduceLink,
+} from "../common/link_reducer.ts";
 import type {
   LinkEffect,
   LinkEvent,
@@ -18,12 +22,15 @@
   LinkState,
 } from "../common/link_reducer.ts";
 
-interface Tagged {
+interface TypedMessage {
   readonly type: string;
 }
 
 /** What the client is built from. */
-export interface LinkClientOptions<In extends Tagged, Out extends Tagged> {
+export interface LinkClientOptions<
+  In extends TypedMessage,
+  Out extends TypedMessage,
+> {
   /** Id of this process; seeds the jitter. */
   readonly id: string;
   /** Presented to the replicas; plain links without it. */
@@ -52,10 +59,10 @@
 }
 
 const TICK_MS = 100;
-const CLOSE_MS = 250;
+const CLOSE_TIMEOUT_MS = 250;
 
 /** Keeps one link open and goes to another replica when it fails. */
-export class LinkClient<In extends Tagged, Out extends Tagged>
+export class LinkClient<In extends TypedMessage, Out extends TypedMessage>
   implements AsyncDisposable {
   readonly #options: LinkClientOptions<In, Out>;
   readonly #loop: EventLoop<LinkState, LinkEvent, LinkEffect>;
@@ -136,7 +143,7 @@
     return new Promise((resolve) => {
       socket.on("close", () => resolve());
       socket.close();
-      setTimeout(() => socket.terminate(), CLOSE_MS).unref();
+      setTimeout(() => socket.terminate(), CLOSE_TIMEOUT_MS).unref();
     });
   }
 
@@ -160,7 +167,7 @@
     const scheme = tls === undefined ? "ws" : "wss";
     const socket = new WebSocket(`${scheme}://${replica}/`, {
       ...createSocketOptions(tls),
-      handshakeTimeout: this.#options.pace?.connectMs ?? CONNECT_MS,
+      handshakeTimeout: this.#options.pace?.connectMs ?? CONNECT_TIMEOUT_MS,
       perMessageDeflate: false,
     });
     this.#socket = socket;
@@ -171,7 +178,7 @@
     const { onOpen, onClose, createHeartbeat } = this.#options;
     const stopHeartbeats = createHeartbeat === undefined
       ? () => {}
-      : startTicks(HEARTBEAT_MS, () => this.send(createHeartbeat()));
+      : startTicks(HEARTBEAT_INTERVAL_MS, () => this.send(createHeartbeat()));
     socket.on("open", () => {
       this.#loop.dispatch({ type: "LinkOpened", linkNumber });
       onOpen(replica, linkNumber);
--- a/src/engine/link/node/link_server.ts
+++ b/src/engine/link/node/link_server.ts
@@ -9,7 +9,7 @@
   InboundMessage,
   OutboundMessage,
 } from "../common/link_messages.ts";
-import { LINK_SILENCE_MS } from "../common/link_messages.ts";
+import { LINK_TIMEOUT_MS } from "../common/link_messages.ts";
 import { decodeMessage } from "../../../base/node/message_codec.ts";
 import type { ProcessClock } from "../../telemetry/common/process_clock.ts";
 import { encodeClocked } from "./clocked_message.ts";
@@ -94,7 +94,7 @@
     this.#links.set(linkId, socket);
     const silence = setTimeout(
       () => socket.terminate(),
-      this.#options.silenceMs ?? LINK_SILENCE_MS,
+      this.#options.silenceMs ?? LINK_TIMEOUT_MS,
     );
     socket.on("message", (data: Buffer) => {
       silence.refresh();
--- a/src/engine/link/test/link_reducer_test.ts
+++ b/src/engine/link/test/link_reducer_test.ts
@@ -1,12 +1,12 @@
 /** Which replica a link goes to, and when. */
 import { expect } from "chai";
-import { LINK_SILENCE_MS } from "../common/link_messages.ts";
+import { LINK_TIMEOUT_MS } from "../common/link_messages.ts";
 import {
   createLink,
   MAX_BACKOFF_MS,
+  MIN_RETURN_MS,
+  MIN_UNCONFIRMED_MS,
   reduceLink,
-  RETURN_MS,
-  UNCONFIRMED_MS,
 } from "../common/link_reducer.ts";
 import type { LinkEvent, LinkPace, LinkState } from "../common/link_reducer.ts";
 
@@ -102,7 +102,7 @@
     const run = new LinkRun("n1", ["a", "b"]);
     run.pass(1_000);
     run.silent.add("a");
-    run.pass(LINK_SILENCE_MS + 1_000);
+    run.pass(LINK_TIMEOUT_MS + 1_000);
     expect(run.replica).to.equal("b");
   });
 
@@ -121,9 +121,9 @@
   it("leaves a replica without a quorum for one that has it", () => {
     const run = new LinkRun("n1", ["a", "b"]);
     run.unconfirmed.add("a");
-    run.pass(UNCONFIRMED_MS + 1_000);
+    run.pass(MIN_UNCONFIRMED_MS + 1_000);
     expect(run.replica).to.equal("b");
-    run.pass(RETURN_MS / 2);
+    run.pass(MIN_RETURN_MS / 2);
     expect(run.opened).to.deep.equal(["a", "b"]);
   });
 
@@ -154,7 +154,7 @@
     run.kill("a");
     run.pass(1_000);
     run.alive.add("a");
-    run.pass(RETURN_MS * 2 + 1_000);
+    run.pass(MIN_RETURN_MS * 2 + 1_000);
     expect(run.replica).to.equal("a");
   });
 
--- a/src/engine/link/test/node_inbox_test.ts
+++ b/src/engine/link/test/node_inbox_test.ts
@@ -3,7 +3,11 @@
 import { createAnnouncement } from "../../membership/test/replicas.ts";
 import { EMPTY_TABLE } from "../../table/common/table_row.ts";
 import { readControlMessage } from "../common/node_inbox.ts";
-import { DISUSE_MS, findDisused, noteUse } from "../common/subscriptions.ts";
+import {
+  findDisused,
+  noteUse,
+  SUBSCRIPTION_IDLE_MS,
+} from "../common/subscriptions.ts";
 
 const VIEW = {
   table: { ...EMPTY_TABLE, version: 4 },
@@ -55,9 +59,11 @@
 describe("subscriptions", () => {
   it("end after a long time without a call", () => {
     const first = noteUse(new Map(), "provenance", 0);
-    const both = noteUse(first, "custody", DISUSE_MS);
-    expect(findDisused(both, DISUSE_MS)).to.deep.equal([]);
-    expect(findDisused(both, DISUSE_MS + 1)).to.deep.equal(["provenance"]);
+    const both = noteUse(first, "custody", SUBSCRIPTION_IDLE_MS);
+    expect(findDisused(both, SUBSCRIPTION_IDLE_MS)).to.deep.equal([]);
+    expect(findDisused(both, SUBSCRIPTION_IDLE_MS + 1)).to.deep.equal([
+      "provenance",
+    ]);
   });
 
   it("cost nothing for calls in quick succession", () => {
