--- a/src/daemon/control_daemon.ts
+++ b/src/daemon/control_daemon.ts
@@ -26,7 +26,7 @@
 import type { EditResult } from "../engine/link/common/cluster_messages.ts";
 import type { RouteDocument } from "../engine/routes/common/route_table.ts";
 import type { ReplaceRoutes } from "../engine/table/common/table_reducer.ts";
-import type { LinkPace } from "../engine/link/common/link_reducer.ts";
+import type { LinkTiming } from "../engine/link/common/link_reducer.ts";
 import { LinkServer } from "../engine/link/node/link_server.ts";
 import { ReplicaLinks } from "../engine/link/node/replica_links.ts";
 import type { StorageError } from "../engine/storage/common/storage_error.ts";
@@ -62,7 +62,7 @@
 export interface ControlDaemonOptions {
   readonly settings: ControlSettings;
   readonly security: Security;
-  readonly linkPace?: LinkPace | undefined;
+  readonly linkPace?: LinkTiming | undefined;
   readonly quotaTerms?: QuotaTerms | undefined;
   /** Owned by the daemon from here on. */
   readonly folder: DataFolder;
@@ -74,7 +74,7 @@
 export class ControlDaemon implements AsyncDisposable {
   readonly #settings: ControlSettings;
   readonly #security: Security;
-  readonly #linkPace: LinkPace | undefined;
+  readonly #linkPace: LinkTiming | undefined;
   readonly #owned = new DisposalStack();
   readonly #telemetry: Telemetry;
   readonly #loop: EventLoop<ReplicaState, ReplicaEvent, ReplicaEffect>;
--- a/src/daemon/relay_control.ts
+++ b/src/daemon/relay_control.ts
@@ -223,7 +223,7 @@
         return;
       case "HeartbeatAnswer":
         if (message.replicas !== undefined) {
-          this.#link.learnReplicas(message.replicas);
+          this.#link.updateReplicas(message.replicas);
         }
         return;
       case "TableUpdate":
--- a/src/daemon/relay_settings.ts
+++ b/src/daemon/relay_settings.ts
@@ -1,5 +1,5 @@
 /** What a relay node is told at its start. */
-import type { LinkPace } from "../engine/link/common/link_reducer.ts";
+import type { LinkTiming } from "../engine/link/common/link_reducer.ts";
 import type { QuotaTerms } from "../engine/workspaces/common/quota_shares.ts";
 import type { BudgetTerms } from "../engine/relay/common/entry_budget.ts";
 
@@ -19,7 +19,7 @@
   readonly mesh: string;
   /** Link addresses of control replicas. */
   readonly replicas: readonly string[];
-  readonly linkPace: LinkPace;
+  readonly linkPace: LinkTiming;
   readonly budget: BudgetTerms;
   /** How long keys are served without a proof that they hold; undefined: on. */
   readonly keyLeaseMs: number | undefined;
--- a/src/engine/call/common/entry_reply.ts
+++ b/src/engine/call/common/entry_reply.ts
@@ -6,7 +6,7 @@
 } from "../../../base/common/reduction.ts";
 import type {
   AttemptPhase,
-  FoundAttempt,
+  AttemptStatusReply,
 } from "../../peer/common/peer_messages.ts";
 import type { NodeEvent } from "./call_events.ts";
 import {
@@ -93,7 +93,7 @@
     : createReduction(state);
 }
 
-function readFinding(found: FoundAttempt | undefined): Finding {
+function readFinding(found: AttemptStatusReply | undefined): Finding {
   switch (found?.type) {
     case "AttemptFenced":
       return "not-run";
--- a/src/engine/call/common/node_state.ts
+++ b/src/engine/call/common/node_state.ts
@@ -17,7 +17,7 @@
 import type { TokenPool } from "../../retry/common/retry_tokens.ts";
 import { NO_SETTLED } from "../../retry/common/settled_attempts.ts";
 import type { SettledAttempts } from "../../retry/common/settled_attempts.ts";
-import { createRouting } from "../../routing/common/routing_state.ts";
+import { createRoutingState } from "../../routing/common/routing_state.ts";
 import type { RoutingState } from "../../routing/common/routing_state.ts";
 import { EMPTY_TABLE } from "../../table/common/table_row.ts";
 import type { Table, TableRow } from "../../table/common/table_row.ts";
@@ -164,7 +164,7 @@
     settled: NO_SETTLED,
     retryBudget: EMPTY_BUDGET,
     resends: EMPTY_RESENDS,
-    routing: createRouting({
+    routing: createRoutingState({
       nodeId: self.nodeId,
       dataCentre: self.dataCentre,
     }),
--- a/src/engine/call/common/peer_reducer.ts
+++ b/src/engine/call/common/peer_reducer.ts
@@ -5,8 +5,8 @@
 } from "../../../base/common/reduction.ts";
 import type { Reduction } from "../../../base/common/reduction.ts";
 import type {
-  AskedAttempt,
-  FoundAttempt,
+  AttemptStatusQuery,
+  AttemptStatusReply,
   PeerMessage,
 } from "../../peer/common/peer_messages.ts";
 import {
@@ -54,7 +54,7 @@
   nowMs: number,
 ): Reduction<NodeState, NodeEffect> {
   const isSameProcess = message.incarnation === state.self.incarnation;
-  const found: FoundAttempt[] = [];
+  const found: AttemptStatusReply[] = [];
   let next = state;
   for (const asked of message.attempts) {
     const known = findAttempt(next, asked.attemptId);
@@ -76,7 +76,7 @@
 function findAttempt(
   state: NodeState,
   attemptId: string,
-): FoundAttempt | undefined {
+): AttemptStatusReply | undefined {
   const served = state.served.get(attemptId);
   if (served !== undefined) {
     return { type: "AttemptKnown", phase: served.phase };
@@ -90,7 +90,7 @@
 
 function fenceAttempt(
   state: NodeState,
-  asked: AskedAttempt,
+  asked: AttemptStatusQuery,
   nowMs: number,
 ): NodeState | undefined {
   const settled = fenceSettled(state.settled, asked, nowMs);
--- a/src/engine/call/common/subscription_step.ts
+++ b/src/engine/call/common/subscription_step.ts
@@ -1,7 +1,7 @@
 /** Folds subscriptions into a node: to the services that it calls. */
 import { deleteEntry } from "../../../base/common/maps.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
-import { findDisused, noteUse } from "../../link/common/subscriptions.ts";
+import { findUnused, recordUse } from "../../link/common/subscriptions.ts";
 import type { NodeEffect } from "./call_events.ts";
 import type { NodeState } from "./node_state.ts";
 import type { NodeStep } from "./served_types.ts";
@@ -12,7 +12,7 @@
   service: string,
   nowMs: number,
 ): NodeState {
-  const subscriptions = noteUse(state.subscriptions, service, nowMs);
+  const subscriptions = recordUse(state.subscriptions, service, nowMs);
   return subscriptions === state.subscriptions
     ? state
     : { ...state, subscriptions };
@@ -21,7 +21,7 @@
 /** Unsubscribes from services that weren't called for long. */
 export function dropDisused(state: NodeState, nowMs: number): NodeStep {
   const own = state.self.service;
-  const disused = findDisused(state.subscriptions, nowMs)
+  const disused = findUnused(state.subscriptions, nowMs)
     .filter((service) => service !== own);
   if (disused.length === 0) {
     return createReduction(state);
--- a/src/engine/call/test/entry_retry_test.ts
+++ b/src/engine/call/test/entry_retry_test.ts
@@ -1,6 +1,6 @@
 /** What is retried, asked about and said of calls, on one node. */
 import { expect } from "chai";
-import type { FoundAttempt } from "../../peer/common/peer_messages.ts";
+import type { AttemptStatusReply } from "../../peer/common/peer_messages.ts";
 import { BUDGET_FLOOR, BUDGET_SHARE } from "../../retry/common/retry_budget.ts";
 import type { VersionedRow } from "../../table/common/table_row.ts";
 import { encodeContext } from "../common/call_context.ts";
@@ -66,7 +66,7 @@
     this.step({ type: "AttemptAnswered", attemptId, answer });
   }
 
-  reply(attemptId: string, found: FoundAttempt | undefined): void {
+  reply(attemptId: string, found: AttemptStatusReply | undefined): void {
     const requestId = `attempts:${attemptId}`;
     const reply = found === undefined
       ? undefined
@@ -81,10 +81,10 @@
   }
 }
 
-const FENCED: FoundAttempt = { type: "AttemptFenced" };
-const FORGOTTEN: FoundAttempt = { type: "AttemptForgotten" };
-const RUNNING: FoundAttempt = { type: "AttemptKnown", phase: "running" };
-const ENDED: FoundAttempt = { type: "AttemptKnown", phase: "ended" };
+const FENCED: AttemptStatusReply = { type: "AttemptFenced" };
+const FORGOTTEN: AttemptStatusReply = { type: "AttemptForgotten" };
+const RUNNING: AttemptStatusReply = { type: "AttemptKnown", phase: "running" };
+const ENDED: AttemptStatusReply = { type: "AttemptKnown", phase: "ended" };
 
 describe("a non-idempotent attempt that failed after it was sent", () => {
   it("is asked about on a new connection, and retried once fenced", () => {
@@ -296,7 +296,7 @@
     node: Subject,
     attemptId: string,
     incarnation = 1,
-  ): FoundAttempt {
+  ): AttemptStatusReply {
     const message = {
       type: "FenceAttempts",
       incarnation,
--- a/src/engine/link/common/link_reducer.ts
+++ b/src/engine/link/common/link_reducer.ts
@@ -8,7 +8,7 @@
 export interface LinkState {
   /** Seeds the jitter. */
   readonly id: string;
-  readonly pace: LinkPace;
+  readonly pace: LinkTiming;
   /** `host:port`, nearest first. */
   readonly replicas: readonly string[];
   readonly replicaIndex: number;
@@ -29,7 +29,7 @@
 }
 
 /** How soon a link is given up, and how long the next one waits. */
-export interface LinkPace {
+export interface LinkTiming {
   /** Longest time that opening a link may take. */
   readonly connectMs: number;
   /** Silence after which the other end is given up. */
@@ -81,7 +81,7 @@
 /** When a process goes back to its nearest replica, at the least. */
 export const MIN_RETURN_MS = 60_000;
 /** The pace where the settings name no other. */
-export const DEFAULT_LINK_TIMING: LinkPace = {
+export const DEFAULT_LINK_TIMING: LinkTiming = {
   connectMs: CONNECT_TIMEOUT_MS,
   silenceMs: LINK_TIMEOUT_MS,
   maxBackoffMs: MAX_BACKOFF_MS,
@@ -95,7 +95,7 @@
 export function createLink(
   id: string,
   replicas: readonly string[],
-  pace: LinkPace = DEFAULT_LINK_TIMING,
+  pace: LinkTiming = DEFAULT_LINK_TIMING,
 ): LinkState {
   return {
     id,
--- a/src/engine/link/common/subscriptions.ts
+++ b/src/engine/link/common/subscriptions.ts
@@ -10,7 +10,7 @@
 const RECORD_INTERVAL_MS = 60_000;
 
 /** Notes a call; the same map where the service was noted a moment ago. */
-export function noteUse(
+export function recordUse(
   subscriptions: Subscriptions,
   service: string,
   nowMs: number,
@@ -22,7 +22,7 @@
 }
 
 /** Finds the services that haven't been called for long. */
-export function findDisused(
+export function findUnused(
   subscriptions: Subscriptions,
   nowMs: number,
 ): readonly string[] {
--- a/src/engine/link/node/link_client.ts
+++ b/src/engine/link/node/link_client.ts
@@ -18,8 +18,8 @@
 import type {
   LinkEffect,
   LinkEvent,
-  LinkPace,
   LinkState,
+  LinkTiming,
 } from "../common/link_reducer.ts";
 
 interface TypedMessage {
@@ -47,7 +47,7 @@
   readonly createHeartbeat: (() => Out) | undefined;
   /** Rides on every message, both ways. */
   readonly clock?: ProcessClock | undefined;
-  readonly pace?: LinkPace | undefined;
+  readonly pace?: LinkTiming | undefined;
 }
 
 /** Payloads of the messages of a link, without frames and packets. */
@@ -94,14 +94,14 @@
   }
 
   /** Takes the replicas that a link may go to from here on. */
-  learnReplicas(replicas: readonly string[]): void {
+  updateReplicas(replicas: readonly string[]): void {
     this.#loop.dispatch({ type: "ReplicasLearned", replicas });
   }
 
   /** Adds replicas to those that a link may go to. */
   addReplicas(replicas: readonly string[]): void {
     const { replicas: known } = this.#loop.state;
-    this.learnReplicas([...new Set([...known, ...replicas])]);
+    this.updateReplicas([...new Set([...known, ...replicas])]);
   }
 
   /** Whether a link is open. */
--- a/src/engine/link/node/replica_links.ts
+++ b/src/engine/link/node/replica_links.ts
@@ -5,7 +5,7 @@
 import type { ClusterMessage } from "../common/cluster_messages.ts";
 import type { OutboundMessage } from "../common/link_messages.ts";
 import { encodeClocked } from "./clocked_message.ts";
-import type { LinkPace } from "../common/link_reducer.ts";
+import type { LinkTiming } from "../common/link_reducer.ts";
 import { LinkClient } from "./link_client.ts";
 
 /** What replicas say to each other. */
@@ -20,7 +20,7 @@
   readonly replicas: readonly string[];
   readonly onMessage: (message: OutboundMessage, replica: string) => void;
   readonly clock: ProcessClock;
-  readonly pace?: LinkPace | undefined;
+  readonly pace?: LinkTiming | undefined;
 }
 
 type ReplicaLink = LinkClient<OutboundMessage, ReplicaMessage>;
--- a/src/engine/link/test/link_reducer_test.ts
+++ b/src/engine/link/test/link_reducer_test.ts
@@ -8,7 +8,11 @@
   MIN_UNCONFIRMED_MS,
   reduceLink,
 } from "../common/link_reducer.ts";
-import type { LinkEvent, LinkPace, LinkState } from "../common/link_reducer.ts";
+import type {
+  LinkEvent,
+  LinkState,
+  LinkTiming,
+} from "../common/link_reducer.ts";
 
 const TICK_MS = 100;
 
@@ -25,7 +29,7 @@
   readonly openedAtMs: number[] = [];
   #current: string | undefined;
 
-  constructor(id: string, replicas: readonly string[], pace?: LinkPace) {
+  constructor(id: string, replicas: readonly string[], pace?: LinkTiming) {
     this.state = createLink(id, replicas, pace);
     replicas.forEach((replica) => this.alive.add(replica));
   }
--- a/src/engine/link/test/node_inbox_test.ts
+++ b/src/engine/link/test/node_inbox_test.ts
@@ -4,8 +4,8 @@
 import { EMPTY_TABLE } from "../../table/common/table_row.ts";
 import { readControlMessage } from "../common/node_inbox.ts";
 import {
-  findDisused,
-  noteUse,
+  findUnused,
+  recordUse,
   SUBSCRIPTION_IDLE_MS,
 } from "../common/subscriptions.ts";
 
@@ -58,16 +58,16 @@
 
 describe("subscriptions", () => {
   it("end after a long time without a call", () => {
-    const first = noteUse(new Map(), "provenance", 0);
-    const both = noteUse(first, "custody", SUBSCRIPTION_IDLE_MS);
-    expect(findDisused(both, SUBSCRIPTION_IDLE_MS)).to.deep.equal([]);
-    expect(findDisused(both, SUBSCRIPTION_IDLE_MS + 1)).to.deep.equal([
+    const first = recordUse(new Map(), "provenance", 0);
+    const both = recordUse(first, "custody", SUBSCRIPTION_IDLE_MS);
+    expect(findUnused(both, SUBSCRIPTION_IDLE_MS)).to.deep.equal([]);
+    expect(findUnused(both, SUBSCRIPTION_IDLE_MS + 1)).to.deep.equal([
       "provenance",
     ]);
   });
 
   it("cost nothing for calls in quick succession", () => {
-    const first = noteUse(new Map(), "provenance", 0);
-    expect(noteUse(first, "provenance", 1_000)).to.equal(first);
+    const first = recordUse(new Map(), "provenance", 0);
+    expect(recordUse(first, "provenance", 1_000)).to.equal(first);
   });
 });
--- a/src/engine/peer/common/peer_messages.ts
+++ b/src/engine/peer/common/peer_messages.ts
@@ -18,11 +18,11 @@
     readonly type: "FenceAttempts";
     /** Of the node that the attempts were sent to. */
     readonly incarnation: number;
-    readonly attempts: readonly AskedAttempt[];
+    readonly attempts: readonly AttemptStatusQuery[];
   };
 
 /** An attempt that its receiver is asked about. */
-export interface AskedAttempt {
+export interface AttemptStatusQuery {
   readonly attemptId: string;
   /** Time since the attempt was sent, in milliseconds. */
   readonly ageMs: number;
@@ -35,11 +35,11 @@
   /** What was found of each attempt, in the order of the question. */
   | {
     readonly type: "AttemptsFound";
-    readonly found: readonly FoundAttempt[];
+    readonly found: readonly AttemptStatusReply[];
   };
 
 /** What a receiver knows of an attempt. */
-export type FoundAttempt =
+export type AttemptStatusReply =
   /** The attempt did not run here, and will be refused from now on. */
   | { readonly type: "AttemptFenced" }
   /** This process can't tell: it started later, or has forgotten. */
--- a/src/engine/routing/common/routing_state.ts
+++ b/src/engine/routing/common/routing_state.ts
@@ -36,7 +36,7 @@
 };
 
 /** Creates the state of a node that has called nobody yet. */
-export function createRouting(client: RoutingClient): RoutingState {
+export function createRoutingState(client: RoutingClient): RoutingState {
   return { client, services: new Map() };
 }
 
--- a/src/engine/routing/test/fakes.ts
+++ b/src/engine/routing/test/fakes.ts
@@ -2,7 +2,7 @@
 import type { Announcement } from "../../membership/common/announcement.ts";
 import { reduceRouting } from "../common/routing_reducer.ts";
 import type { RoutingEvent } from "../common/routing_reducer.ts";
-import { createRouting } from "../common/routing_state.ts";
+import { createRoutingState } from "../common/routing_state.ts";
 import type { RoutingState } from "../common/routing_state.ts";
 import { selectBackend } from "../common/select_backend.ts";
 
@@ -46,7 +46,7 @@
 
 /** One client that calls at a steady rate. */
 export class Simulation {
-  state: RoutingState = createRouting(CLIENT);
+  state: RoutingState = createRoutingState(CLIENT);
   nowMs = 100_000;
   serve: Serve = () => ({ takesMs: 10 });
   #open: (OpenAttempt & { readonly hintedLoad: number | undefined })[] = [];
