--- a/src/engine/routing/common/backend_view.ts
+++ b/src/engine/routing/common/backend_view.ts
@@ -1,75 +1,90 @@
-/** One backend server as this node sees it, and what an attempt there costs. */
+/** This node's view of one backend server, and the cost of an attempt there. */
 import type { Announcement } from "../../membership/common/announcement.ts";
 
-/** What this node saw of one backend server. */
+/**
+ * What this node has measured of one backend server. Averages are
+ * exponentially weighted; times are wall clock in milliseconds.
+ */
 export interface BackendView {
   readonly announcement: Announcement;
-  /** Attempts of this node that are under way. */
+  /** Attempts sent by this node that have not ended. */
   readonly inFlight: number;
-  /** Last end of an attempt, or the start of the first one since idle. */
+  /**
+   * End of the latest completed attempt, or the start of the first attempt
+   * after an idle period.
+   */
   readonly lastProgressAtMs: number;
-  /** Last end of an attempt; what was seen before it fades. */
+  /** Last update of the averages below, which decay from then on. */
   readonly updatedAtMs: number;
-  /** Time of an attempt over the usual time of its kind; 1 is usual. */
+  /** Average ratio of an attempt's latency to the baseline of its kind. */
   readonly latencyRatio: number;
-  /** Attempts that gave a time since the start or the last ejection. */
+  /** Latency samples since the view was created or last ejected. */
   readonly sampleCount: number;
-  /** Share of failed attempts, decaying, 0 to 1. */
+  /** Average share of failed attempts, 0 to 1. */
   readonly failureShare: number;
-  /** Share of refused attempts, decaying, 0 to 1. */
+  /** Average share of refused attempts, 0 to 1. */
   readonly refusalShare: number;
-  /** When its share of the work began to grow. */
+  /** Start of the ramp over which its share of the work grows. */
   readonly rampStartMs: number;
+  /** Undefined unless the backend server is ejected. */
   readonly ejection: Ejection | undefined;
-  /** Ejections in a row; sets the next back-off. */
+  /** Consecutive ejections; each doubles the next back-off. */
   readonly ejectionCount: number;
+  /** End of the last ejection. */
   readonly restoredAtMs: number;
-  /** Load by the platform's own endpoints, per cent: it may mislead. */
+  /**
+   * Load reported by the platform's own endpoint, in per cent. It may be
+   * wrong, so it only breaks ties. Undefined when not reported.
+   */
   readonly hintedLoad: number | undefined;
 }
 
-/** A backend server without traffic, but for probes. */
+/** A period in which a backend server gets no attempts except probes. */
 export interface Ejection {
-  /** No probe before this, wall clock in milliseconds. */
+  /** Earliest time of a probe, wall clock in milliseconds. */
   readonly untilMs: number;
 }
 
-/** How an attempt ended, for the view of its backend server. */
+/** Result of one attempt, used to update the view of its backend server. */
 export interface AttemptReport {
   readonly service: string;
   readonly nodeId: string;
-  /** Kind of request: each has its own usual time. */
+  /** Kind of request; each kind has its own latency baseline. */
   readonly kind: string;
   readonly latencyMs: number;
-  /** `cancelled`: given up on this side, by the caller or its deadline. */
+  /** `cancelled`: ended on this side, by the caller or by the deadline. */
   readonly result: "answered" | "refused" | "failed" | "cancelled";
+  /** Whether the answer stated that the backend server is draining. */
   readonly isDraining: boolean;
-  /** Load hint that came with the answer, per cent. */
+  /** Load hint of the answer, in per cent. */
   readonly hintedLoad?: number | undefined;
 }
 
-/** Time until a new backend server gets its full share, in milliseconds. */
+/** Time in which a new backend server reaches its full share of the work. */
 export const RAMP_DURATION_MS = 10_000;
-/** Share of a backend server that has just come. */
+/** Share of its slots that a new backend server starts with. */
 const INITIAL_RAMP_SHARE = 0.1;
-/** Weight of a new sample in the shares of failures and refusals. */
+/** Weight of a new sample in the failure and refusal shares. */
 const RESULT_GAIN = 0.2;
-/** Weight of a faster sample; a slower one weighs in by `RISE_GAIN`. */
+/** Weight of a latency sample below the average. */
 const LATENCY_FALL_GAIN = 0.1;
+/** Weight of a latency sample above the average. */
 const LATENCY_RISE_GAIN = 0.3;
-/** One sample counts at most this much, so that one can't eject by itself. */
+/** Upper bound of one latency sample, to limit the effect of an outlier. */
 const MAX_SAMPLE_RATIO = 20;
 /** Shortest time without progress that counts as a stall. */
 const MIN_STALL_MS = 50;
-/** Time constant of the fading, in milliseconds. */
+/** Time constant of the exponential decay of the averages. */
 const DECAY_TIME_CONSTANT_MS = 2_000;
+/** Cost added by a failure share of 1, as a multiple of the base cost. */
 const FAILURE_COST_FACTOR = 8;
+/** Cost added by a refusal share of 1, as a multiple of the base cost. */
 const REFUSAL_COST_FACTOR = 2;
 
-/** Creates the view of a backend server that was not seen before. */
+/** Creates the view of a backend server without any measurements. */
 export function createView(
   announcement: Announcement,
-  rampFromMs: number,
+  rampStartMs: number,
 ): BackendView {
   return {
     announcement,
@@ -80,7 +95,7 @@
     sampleCount: 0,
     failureShare: 0,
     refusalShare: 0,
-    rampStartMs: rampFromMs,
+    rampStartMs,
     ejection: undefined,
     ejectionCount: 0,
     restoredAtMs: 0,
@@ -88,7 +103,7 @@
   };
 }
 
-/** Notes that an attempt was sent. */
+/** Records that an attempt was sent. */
 export function recordAttemptStart(
   view: BackendView,
   nowMs: number,
@@ -101,36 +116,37 @@
 }
 
 /**
- * Notes how an attempt ended; `ratio` is its time over the usual one. What
- * this side gave up is no failure: it tells only that the attempt would have
- * taken at least so long, which counts where it is longer than was known.
+ * Records the result of an attempt; `ratio` is its latency divided by the
+ * baseline. A cancelled attempt is not a failure. It only shows that the
+ * latency would have been at least that long, so it counts as a sample only
+ * where its ratio exceeds the average.
  */
 export function recordAttemptEnd(
   view: BackendView,
-  seen: { readonly report: AttemptReport; readonly ratio: number },
+  ended: { readonly report: AttemptReport; readonly ratio: number },
   nowMs: number,
 ): BackendView {
-  const { report, ratio } = seen;
+  const { report, ratio } = ended;
   const { result } = report;
-  const isOver = result !== "cancelled";
-  const hasAnswer = isOver && result !== "failed";
-  const isTimed = result === "answered" ||
-    (!isOver && ratio > view.latencyRatio);
+  const isCompleted = result !== "cancelled";
+  const hasAnswer = isCompleted && result !== "failed";
+  const isSample = result === "answered" ||
+    (!isCompleted && ratio > view.latencyRatio);
   const failed = result === "failed" ? 1 : 0;
   const refused = result === "refused" ? 1 : 0;
   return {
     ...view,
     inFlight: Math.max(0, view.inFlight - 1),
-    lastProgressAtMs: isOver ? nowMs : view.lastProgressAtMs,
-    updatedAtMs: isOver || isTimed ? nowMs : view.updatedAtMs,
-    latencyRatio: isTimed
+    lastProgressAtMs: isCompleted ? nowMs : view.lastProgressAtMs,
+    updatedAtMs: isCompleted || isSample ? nowMs : view.updatedAtMs,
+    latencyRatio: isSample
       ? updateLatencyRatio(view.latencyRatio, ratio)
       : view.latencyRatio,
-    sampleCount: view.sampleCount + (isTimed ? 1 : 0),
-    failureShare: isOver
+    sampleCount: view.sampleCount + (isSample ? 1 : 0),
+    failureShare: isCompleted
       ? updateAverage(view.failureShare, failed, RESULT_GAIN)
       : view.failureShare,
-    refusalShare: isOver
+    refusalShare: isCompleted
       ? updateAverage(view.refusalShare, refused, RESULT_GAIN)
       : view.refusalShare,
     hintedLoad: hasAnswer ? report.hintedLoad : view.hintedLoad,
@@ -138,54 +154,59 @@
 }
 
 /**
- * Slowness with what is still under way: a backend server that ends nothing
- * for longer than its slowest kind usually takes counts as that slow.
+ * Computes the latency ratio including attempts in flight: a backend server
+ * that completes none of them for longer than the highest baseline of its
+ * service is rated by the length of the stall.
  */
 export function computeLatencyRatio(
   view: BackendView,
-  slowestUsualMs: number,
+  maxBaselineMs: number,
   nowMs: number,
 ): number {
-  const seen = 1 + (view.latencyRatio - 1) * computeDecay(view, nowMs);
+  const measured = 1 + (view.latencyRatio - 1) * computeDecay(view, nowMs);
   if (view.inFlight === 0) {
-    return seen;
+    return measured;
   }
   const stalledMs = nowMs - view.lastProgressAtMs;
-  const expectedMs = Math.max(MIN_STALL_MS, slowestUsualMs);
-  return Math.max(seen, stalledMs / expectedMs);
+  const expectedMs = Math.max(MIN_STALL_MS, maxBaselineMs);
+  return Math.max(measured, stalledMs / expectedMs);
 }
 
-/** Share of its slots that a backend server gets, 0.1 to 1. */
+/** Computes the share of its slots that a backend server gets, 0.1 to 1. */
 export function computeRampShare(view: BackendView, nowMs: number): number {
-  const grown = (nowMs - view.rampStartMs) / RAMP_DURATION_MS;
-  return Math.min(1, Math.max(INITIAL_RAMP_SHARE, grown));
+  const elapsedShare = (nowMs - view.rampStartMs) / RAMP_DURATION_MS;
+  return Math.min(1, Math.max(INITIAL_RAMP_SHARE, elapsedShare));
 }
 
-/** Whether this node alone fills the slots that the backend server has. */
+/** Whether the attempts of this node alone fill the available slots. */
 export function isSaturated(view: BackendView, nowMs: number): boolean {
   const slots = view.announcement.slots * computeRampShare(view, nowMs);
   return view.inFlight >= Math.max(1, slots);
 }
 
 /**
- * Cost of one more attempt: load times time, as in the peak-EWMA balancer of
- * Finagle, with the time measured against the usual one of the same kind. While
- * a backend server ramps up, each attempt under way there counts for several.
+ * Computes the cost of one more attempt: load times latency, as in the
+ * peak-EWMA balancer of Finagle, but with latency relative to the baseline of
+ * the same kind. During the ramp, attempts in flight are weighted by the
+ * inverse of the ramp share.
  */
 export function computeCost(
   view: BackendView,
-  slowestUsualMs: number,
+  maxBaselineMs: number,
   nowMs: number,
 ): number {
-  const counted = view.inFlight / computeRampShare(view, nowMs) + 1;
-  const load = counted / view.announcement.slots;
-  const trouble = FAILURE_COST_FACTOR * view.failureShare +
+  const weightedCount = view.inFlight / computeRampShare(view, nowMs) + 1;
+  const load = weightedCount / view.announcement.slots;
+  const penalty = FAILURE_COST_FACTOR * view.failureShare +
     REFUSAL_COST_FACTOR * view.refusalShare;
-  const worse = 1 + trouble * computeDecay(view, nowMs);
-  return load * computeLatencyRatio(view, slowestUsualMs, nowMs) * worse;
+  const penaltyFactor = 1 + penalty * computeDecay(view, nowMs);
+  return load * computeLatencyRatio(view, maxBaselineMs, nowMs) * penaltyFactor;
 }
 
-/** What is left of an old impression, so that the unused are tried again. */
+/**
+ * Computes the remaining weight of the averages, 0 to 1. They decay so that a
+ * backend server without recent attempts is tried again.
+ */
 function computeDecay(view: BackendView, nowMs: number): number {
   return Math.exp(
     -Math.max(0, nowMs - view.updatedAtMs) / DECAY_TIME_CONSTANT_MS,
--- a/src/engine/routing/common/ejection.ts
+++ b/src/engine/routing/common/ejection.ts
@@ -1,39 +1,41 @@
-/** Takes traffic from stragglers and failing backend servers for a while. */
+/** Temporary ejection of straggling and failing backend servers. */
 import type { BackendView } from "./backend_view.ts";
 
-/** First time without traffic; it doubles with each ejection in a row. */
+/** Duration of the first ejection; doubles with each consecutive one. */
 export const INITIAL_EJECTION_MS = 500;
-/** Longest time without traffic. */
+/** Upper bound of the duration of an ejection. */
 export const MAX_EJECTION_MS = 30_000;
-/** Healthy this long after its return, a backend server starts anew. */
+/** Time since the last ejection ended after which the back-off starts over. */
 const EJECTION_COUNT_RESET_MS = 30_000;
-/** Share of failed attempts that ejects: about four in a row. */
+/** A higher failure share ejects: about four consecutive failures. */
 const MAX_FAILURE_SHARE = 0.5;
-/** Slowness over the median of the service's that ejects. */
+/** A latency ratio above this multiple of the service's median ejects. */
 const MAX_LATENCY_RATIO = 4;
-/** A probe within this many times the median brings the traffic back. */
+/** A probe within this multiple of the median ends the ejection. */
 const MAX_PROBE_LATENCY_RATIO = 2;
-/** Attempts needed before slowness ejects. */
+/** Latency samples required before an ejection for high latency. */
 const MIN_SAMPLE_COUNT = 3;
-/** One in so many members may be ejected, and always one of two. */
+/** At most one in this many may be ejected, but always one of two. */
 const EJECTED_DIVISOR = 3;
 
-/** How many of `count` backend servers may be ejected at a time. */
+/** Computes how many of `count` backend servers may be ejected at once. */
 export function computeEjectionLimit(count: number): number {
   return count < 2 ? 0 : Math.max(1, Math.floor(count / EJECTED_DIVISOR));
 }
 
-/** What the ends of attempts came to for a service. */
+/** Health of the backend servers of one service. */
 export interface ServiceEvaluation {
   readonly views: readonly BackendView[];
+  /** Whether more than half are unhealthy or ejected. */
   readonly isMostlyUnhealthy: boolean;
   readonly hasEjected: boolean;
 }
 
 /**
- * Ejects the view at `index` if it looks bad, or settles its probe. At the
- * limit, and where most of the service looks bad, nobody more is ejected: then
- * the fault is not one backend server's.
+ * Ejects the view at `index` if it is unhealthy, or evaluates its probe. At the
+ * ejection limit, or when more than half of the service is unhealthy, no
+ * further view is ejected: a fault of most backend servers has a common cause
+ * that ejection doesn't remedy.
  */
 export function evaluateView(
   views: readonly BackendView[],
@@ -41,25 +43,25 @@
   nowMs: number,
 ): ServiceEvaluation {
   const median = computeMedianLatencyRatio(views);
-  let ejected = 0;
-  let bad = 0;
+  let ejectedCount = 0;
+  let unhealthyCount = 0;
   for (const view of views) {
-    ejected += view.ejection === undefined ? 0 : 1;
-    bad += isUnhealthy(view, median) ? 1 : 0;
+    ejectedCount += view.ejection === undefined ? 0 : 1;
+    unhealthyCount += isUnhealthy(view, median) ? 1 : 0;
   }
-  const isMostlyBad = (ejected + bad) * 2 > views.length;
-  const hasRoom = ejected < computeEjectionLimit(views.length);
-  const canEject = hasRoom && bad * 2 <= views.length;
+  const isMostlyUnhealthy = (ejectedCount + unhealthyCount) * 2 > views.length;
+  const isBelowLimit = ejectedCount < computeEjectionLimit(views.length);
+  const canEject = isBelowLimit && unhealthyCount * 2 <= views.length;
   const view = views[index]!;
   const next = updateEjection(view, { median, canEject }, nowMs);
   return {
     views: next === view ? views : views.with(index, next),
-    isMostlyUnhealthy: isMostlyBad,
-    hasEjected: ejected > 0 || next.ejection !== undefined,
+    isMostlyUnhealthy,
+    hasEjected: ejectedCount > 0 || next.ejection !== undefined,
   };
 }
 
-/** Whether an ejected backend server may be tried with one attempt. */
+/** Whether an ejected backend server may get one attempt as a probe. */
 export function isProbeDue(view: BackendView, nowMs: number): boolean {
   return view.ejection !== undefined && view.ejection.untilMs <= nowMs &&
     view.inFlight === 0;
@@ -73,13 +75,13 @@
 
 function updateEjection(
   view: BackendView,
-  among: { readonly median: number; readonly canEject: boolean },
+  service: { readonly median: number; readonly canEject: boolean },
   nowMs: number,
 ): BackendView {
   if (view.ejection !== undefined) {
-    return evaluateProbe(view, among.median, nowMs);
+    return evaluateProbe(view, service.median, nowMs);
   }
-  return among.canEject && isUnhealthy(view, among.median)
+  return service.canEject && isUnhealthy(view, service.median)
     ? eject(view, nowMs)
     : resetEjectionCount(view, nowMs);
 }
@@ -97,7 +99,10 @@
   };
 }
 
-/** The first end of an attempt after the back-off decides. */
+/**
+ * Ends or repeats the ejection by the first result after the back-off.
+ * Results that arrive during the back-off are discarded.
+ */
 function evaluateProbe(
   view: BackendView,
   median: number,
@@ -131,12 +136,12 @@
     : view;
 }
 
-/** The lower median of the slowness of those that have traffic. */
+/** Computes the lower median over the views that are not ejected. */
 function computeMedianLatencyRatio(views: readonly BackendView[]): number {
   const sorted: number[] = [];
-  for (const { ejection, latencyRatio: slowness } of views) {
+  for (const { ejection, latencyRatio } of views) {
     if (ejection === undefined) {
-      sorted.push(slowness);
+      sorted.push(latencyRatio);
     }
   }
   sorted.sort((a, b) => a - b);
--- a/src/engine/routing/common/load_hint.ts
+++ b/src/engine/routing/common/load_hint.ts
@@ -1,22 +1,22 @@
-/** What the platform's health and load endpoints hint at: they may mislead. */
+/** Load hints from the platform's health and load endpoints; may be wrong. */
 
-/** What the endpoints of the local backend server last said. */
+/** Latest result of polling the endpoints of the local backend server. */
 export interface HintReceived {
   readonly type: "HintReceived";
-  /** Undefined: not asked, or no answer in time. */
+  /** Undefined: not polled, or no answer within the time limit. */
   readonly isHealthy: boolean | undefined;
-  /** Share of the backend server that is busy, from 0; undefined as above. */
+  /** Busy share of the backend server, 0 to 1; undefined as above. */
   readonly load: number | undefined;
 }
 
-/** Load that is said of a full or an unhealthy backend server, per cent. */
+/** Load of a full or unhealthy backend server, and the highest valid value. */
 export const MAX_LOAD_PERCENT = 100;
 const LOAD_PATTERN = /^\d{1,3}$/;
 
 /**
- * Computes the load hint, in whole per cent. "Unhealthy" counts as full and no
- * more: it decides ties between backend servers, and what the callers' nodes
- * see themselves decides all else.
+ * Computes the load hint, in whole per cent. An unhealthy backend server is
+ * reported as full and nothing more: hints only break ties between backend
+ * servers, and all other decisions use what the calling nodes measure.
  */
 export function computeLoadHint(hint: HintReceived): number | undefined {
   const { isHealthy, load } = hint;
@@ -29,7 +29,7 @@
   return Math.min(MAX_LOAD_PERCENT, Math.round(load * MAX_LOAD_PERCENT));
 }
 
-/** Reads the hint of an answer's header; undefined where it says none. */
+/** Decodes the load header of an answer; undefined if it is not valid. */
 export function decodeLoadHint(text: string): number | undefined {
   const load = LOAD_PATTERN.test(text) ? Number(text) : MAX_LOAD_PERCENT + 1;
   return load <= MAX_LOAD_PERCENT ? load : undefined;
--- a/src/engine/routing/common/routing_reducer.ts
+++ b/src/engine/routing/common/routing_reducer.ts
@@ -1,4 +1,4 @@
-/** Steps the node's view of the backend servers that it calls. */
+/** Reducer of the routing state: members, subsets and measurements. */
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { Reduction } from "../../../base/common/reduction.ts";
@@ -15,7 +15,7 @@
 import type { RoutingState, ServiceView } from "./routing_state.ts";
 import { chooseSubset } from "./subset.ts";
 
-/** What happens to the view. */
+/** An event that changes the routing state. */
 export type RoutingEvent =
   | { readonly type: "MemberPublished"; readonly announcement: Announcement }
   | {
@@ -38,20 +38,20 @@
 interface ServiceChange {
   readonly name: string;
   readonly service: ServiceView;
-  /** Whether these are the first members that are known. */
+  /** Whether nothing was known of the service before its member list. */
   readonly isFirstList?: boolean;
 }
 
-/** Weight of a sample in the usual time of a kind. */
+/** Weight of a sample in the latency baseline of a kind. */
 const BASELINE_GAIN = 0.05;
-/** A sample moves the usual time as if at most this many times as long. */
+/** Upper bound of a sample, as a multiple of the baseline plus 1 ms. */
 const MAX_BASELINE_SAMPLE_RATIO = 3;
-/** Smaller moves of the usual time aren't worth a copy for each call. */
+/** Smaller relative changes are skipped, to avoid a copy for each call. */
 const MIN_BASELINE_CHANGE_RATIO = 0.01;
-/** Least time that a ratio is taken of: below it, all noise is the same. */
+/** Shorter latencies count as this in a ratio: below it, noise dominates. */
 const MIN_LATENCY_MS = 5;
 
-/** Steps the view. Routing asks nothing of the I/O layer. */
+/** Applies one event. Routing has no effects on the I/O layer. */
 export function reduceRouting(
   state: RoutingState,
   event: RoutingEvent,
@@ -107,7 +107,7 @@
   return refreshSubset(state, change, nowMs);
 }
 
-/** A list replaces what is known, but for what is older than it. */
+/** Replaces the members by a list, but keeps announcements that are newer. */
 function replaceMembers(
   state: RoutingState,
   listed: {
@@ -116,39 +116,42 @@
   },
   nowMs: number,
 ): RoutingState {
-  const known = state.services.get(listed.service);
-  const before = known ?? EMPTY_SERVICE_VIEW;
+  const current = state.services.get(listed.service);
+  const before = current ?? EMPTY_SERVICE_VIEW;
   const members = new Map(listed.members.map((member) => {
-    const current = before.members.get(member.nodeId);
-    const isNewer = isNewerAnnouncement(member, current);
-    return [member.nodeId, isNewer ? member : current!];
+    const known = before.members.get(member.nodeId);
+    const isNewer = isNewerAnnouncement(member, known);
+    return [member.nodeId, isNewer ? member : known!];
   }));
   const next = { ...before, members };
-  const isFirst = known === undefined;
-  const change = { name: listed.service, service: next, isFirst };
+  const isFirstList = current === undefined;
+  const change = { name: listed.service, service: next, isFirstList };
   return refreshSubset(state, change, nowMs);
 }
 
 /**
- * Chooses the subset anew. Members of the first list are as old as they say;
- * later ones have just come, whatever their clock.
+ * Chooses the subset and creates views for its new members. The ramp of a new
+ * member begins now, whatever its clock; but a member of the first list may
+ * have been running for long, so its ramp begins at its incarnation.
  */
 function refreshSubset(
   state: RoutingState,
   change: ServiceChange,
   nowMs: number,
 ): RoutingState {
-  const { name, service, isFirstList: isFirst = false } = change;
-  const takers = [...service.members.values()].filter((member) =>
+  const { name, service, isFirstList = false } = change;
+  const available = [...service.members.values()].filter((member) =>
     !member.isDraining &&
     service.drainSeen.get(member.nodeId) !== member.incarnation
   );
   const known = new Map(
     service.views.map((view) => [view.announcement.nodeId, view]),
   );
-  const views = chooseSubset(takers, state.client).map((member) => {
-    const rampFromMs = isFirst ? Math.min(nowMs, member.incarnation) : nowMs;
-    return refreshView(known.get(member.nodeId), member, rampFromMs);
+  const views = chooseSubset(available, state.client).map((member) => {
+    const rampStartMs = isFirstList
+      ? Math.min(nowMs, member.incarnation)
+      : nowMs;
+    return refreshView(known.get(member.nodeId), member, rampStartMs);
   });
   return setService(state, name, { ...service, views });
 }
@@ -156,12 +159,12 @@
 function refreshView(
   view: BackendView | undefined,
   member: Announcement,
-  rampFromMs: number,
+  rampStartMs: number,
 ): BackendView {
   const isSame = view?.announcement.incarnation === member.incarnation;
   return view !== undefined && isSame
     ? { ...view, announcement: member }
-    : createView(member, rampFromMs);
+    : createView(member, rampStartMs);
 }
 
 function applyReport(
@@ -176,18 +179,18 @@
   }
   const service = updateBaseline(before, report);
   const index = findViewIndex(service, nodeId);
-  const settled = index < 0
+  const recorded = index < 0
     ? service
     : recordResult(service, index, report, nowMs);
-  const member = settled.members.get(nodeId);
+  const member = recorded.members.get(nodeId);
   if (!report.isDraining || member === undefined) {
-    return setService(state, name, settled);
+    return setService(state, name, recorded);
   }
-  if (settled.drainSeen.get(nodeId) === member.incarnation) {
-    return setService(state, name, settled);
+  if (recorded.drainSeen.get(nodeId) === member.incarnation) {
+    return setService(state, name, recorded);
   }
-  const drainSeen = setEntry(settled.drainSeen, nodeId, member.incarnation);
-  const change = { name, service: { ...settled, drainSeen } };
+  const drainSeen = setEntry(recorded.drainSeen, nodeId, member.incarnation);
+  const change = { name, service: { ...recorded, drainSeen } };
   return refreshSubset(state, change, nowMs);
 }
 
@@ -197,18 +200,18 @@
   report: AttemptReport,
   nowMs: number,
 ): ServiceView {
-  const usual = service.baselineMs.get(report.kind) ?? report.latencyMs;
+  const baselineMs = service.baselineMs.get(report.kind) ?? report.latencyMs;
   const ratio = Math.max(report.latencyMs, MIN_LATENCY_MS) /
-    Math.max(usual, MIN_LATENCY_MS);
-  const seen = { report, ratio };
-  const noted = service.views.with(
+    Math.max(baselineMs, MIN_LATENCY_MS);
+  const ended = { report, ratio };
+  const views = service.views.with(
     index,
-    recordAttemptEnd(service.views[index]!, seen, nowMs),
+    recordAttemptEnd(service.views[index]!, ended, nowMs),
   );
-  return { ...service, ...evaluateView(noted, index, nowMs) };
+  return { ...service, ...evaluateView(views, index, nowMs) };
 }
 
-/** Moves the usual time of a kind; only whole answers tell it. */
+/** Updates the baseline of a kind; only answered attempts are samples. */
 function updateBaseline(
   service: ServiceView,
   report: AttemptReport,
@@ -217,25 +220,25 @@
     return service;
   }
   const { kind, latencyMs } = report;
-  const usual = service.baselineMs.get(kind);
-  const sample = Math.min(
+  const currentMs = service.baselineMs.get(kind);
+  const sampleMs = Math.min(
     latencyMs,
-    MAX_BASELINE_SAMPLE_RATIO * (usual ?? latencyMs) + 1,
+    MAX_BASELINE_SAMPLE_RATIO * (currentMs ?? latencyMs) + 1,
   );
-  const next = usual === undefined
-    ? sample
-    : usual + BASELINE_GAIN * (sample - usual);
+  const nextMs = currentMs === undefined
+    ? sampleMs
+    : currentMs + BASELINE_GAIN * (sampleMs - currentMs);
   if (
-    usual !== undefined &&
-    Math.abs(next - usual) < MIN_BASELINE_CHANGE_RATIO * usual
+    currentMs !== undefined &&
+    Math.abs(nextMs - currentMs) < MIN_BASELINE_CHANGE_RATIO * currentMs
   ) {
     return service;
   }
-  const usualMs = setEntry(service.baselineMs, kind, next);
+  const baselineMs = setEntry(service.baselineMs, kind, nextMs);
   return {
     ...service,
-    baselineMs: usualMs,
-    maxBaselineMs: Math.max(...usualMs.values()),
+    baselineMs,
+    maxBaselineMs: Math.max(...baselineMs.values()),
   };
 }
 
--- a/src/engine/routing/common/select_backend.ts
+++ b/src/engine/routing/common/select_backend.ts
@@ -1,37 +1,41 @@
-/** Chooses the backend server of one attempt from the node's own view. */
+/** Selects the backend server of one attempt by this node's own measurements. */
 import { hashText } from "../../../base/common/hash.ts";
 import { computeCost, isSaturated } from "./backend_view.ts";
 import type { BackendView } from "./backend_view.ts";
 import { isProbeDue } from "./ejection.ts";
 import type { RoutingState, ServiceView } from "./routing_state.ts";
 
-/** What a call asks of the choice. */
+/** The attempt that a backend server is selected for. */
 export interface SelectionRequest {
   readonly service: string;
-  /** Seeds the choice, so that it replays. */
+  /** Seeds the random choices, so that a replay makes the same ones. */
   readonly attemptId: string;
-  /** Node ids that this call tried already. */
+  /** Node ids that earlier attempts of the call were sent to. */
   readonly tried: readonly string[];
   readonly nowMs: number;
 }
 
-/** One attempt in so many may be a probe of an ejected backend server. */
+/** One attempt in this many may probe an ejected backend server. */
 export const PROBE_INTERVAL = 16;
-/** Fewer near candidates than this are joined by those of elsewhere. */
+/** With fewer candidates in the own data centre, those elsewhere are added. */
 const MIN_NEAR_CANDIDATES = 2;
 /**
- * Costs within this ratio are a tie, which the hinted load decides. So a load
- * endpoint that lies moves work only between backend servers whose cost, as
- * this node saw it, differs by less than this.
+ * Costs within this ratio are a tie, decided by the hinted load. A wrong hint
+ * therefore moves work only between backend servers whose cost, as measured by
+ * this node, differs by less than this.
  */
 export const TIE_RATIO = 1.1;
 /**
- * A hint is forgotten when its backend server has answered nothing for so
- * long: one that gets no work, for its hint's sake, could never better it.
+ * A hint expires this long after the last result from its backend server. A
+ * hint that lasted longer could keep the backend server without work, and thus
+ * without an answer that would correct the hint.
  */
 export const HINT_TTL_MS = 2_000;
 
-/** Selects the cheaper of two backend servers drawn by hash. */
+/**
+ * Selects the cheaper of two backend servers drawn by hash. Undefined if the
+ * service is unknown or every view was tried.
+ */
 export function selectBackend(
   state: RoutingState,
   request: SelectionRequest,
@@ -77,20 +81,23 @@
   return views.find((view) => isProbeDue(view, request.nowMs));
 }
 
-/** The own data centre while it has at least two that take work. */
+/**
+ * Lists the views with free slots in the own data centre if there are at least
+ * two, else those with free slots anywhere, else all.
+ */
 function listPreferred(
   views: readonly BackendView[],
   dataCentre: string,
   request: SelectionRequest,
 ): readonly BackendView[] {
-  const open = views.filter((view) => !isSaturated(view, request.nowMs));
-  const near = open.filter((view) =>
+  const available = views.filter((view) => !isSaturated(view, request.nowMs));
+  const near = available.filter((view) =>
     view.announcement.dataCentre === dataCentre
   );
   if (near.length >= MIN_NEAR_CANDIDATES) {
     return near;
   }
-  return open.length > 0 ? open : views;
+  return available.length > 0 ? available : views;
 }
 
 function chooseCheaperOfTwo(
@@ -105,9 +112,9 @@
   const step = 1 + hashText(request.attemptId, 2) % (views.length - 1);
   const a = views[first]!;
   const b = views[(first + step) % views.length]!;
-  const { maxBaselineMs: slowestUsualMs } = service;
-  const costA = computeCost(a, slowestUsualMs, request.nowMs);
-  const costB = computeCost(b, slowestUsualMs, request.nowMs);
+  const { maxBaselineMs } = service;
+  const costA = computeCost(a, maxBaselineMs, request.nowMs);
+  const costB = computeCost(b, maxBaselineMs, request.nowMs);
   const isTie = costA <= costB * TIE_RATIO && costB <= costA * TIE_RATIO;
   const hintA = getFreshHint(a, request.nowMs);
   const hintB = getFreshHint(b, request.nowMs);
--- a/src/engine/routing/common/subset.ts
+++ b/src/engine/routing/common/subset.ts
@@ -1,28 +1,28 @@
-/** The bounded part of a service that one node sends to. */
+/** The bounded subset of a service's members that one node sends to. */
 import { hashText } from "../../../base/common/hash.ts";
 import type { Announcement } from "../../membership/common/announcement.ts";
 
-/** Whose subset it is. */
+/** The node that a subset is chosen for. */
 export interface RoutingClient {
   readonly nodeId: string;
   readonly dataCentre: string;
 }
 
 /**
- * Backend servers of the own data centre in a subset. Two choices among eight
- * already spread load nearly as well as among all, and one may fail, one drain
- * and one be ejected without a gap; a node of a service of M is then called by
- * about 8/M of the callers near it, so its connections stay bounded as the
- * fleet grows.
+ * Members of the own data centre in a subset. The better of two among eight
+ * spreads load nearly as well as among all, and one may fail, one drain and one
+ * be ejected while enough remain. Each node of a service of M members is called
+ * by about 8/M of the nodes in its data centre, so the number of its
+ * connections stays bounded as the fleet grows.
  */
 export const NEAR_SUBSET_SIZE = 8;
-/** Backend servers of other data centres in a subset, for spilling over. */
+/** Members of other data centres in a subset, used when the near ones fail. */
 export const FAR_SUBSET_SIZE = 4;
 
 /**
- * Chooses a subset by rendezvous hashing (Thaler and Ravishankar, 1998), the
- * own data centre first. One member more or less changes one place at most in
- * each half.
+ * Chooses a subset by rendezvous hashing (Thaler and Ravishankar, 1998),
+ * members of the own data centre first. Adding or removing one member changes
+ * at most one entry of each part.
  */
 export function chooseSubset(
   members: Iterable<Announcement>,
