--- a/src/engine/routing/node/hint_poller.ts
+++ b/src/engine/routing/node/hint_poller.ts
@@ -2,7 +2,7 @@
 import { Agent } from "undici";
 import type { HintReceived } from "../common/load_hint.ts";
 
-/** What is polled, and who hears of it. */
+/** Options of a hint poller. */
 export interface HintPollerOptions {
   /** `host:port` of the backend server. */
   readonly address: string;
@@ -10,17 +10,18 @@
   readonly healthPath: string | undefined;
   /** Path that answers JSON with `load`, from 0 (idle) to 1 (full). */
   readonly loadPath: string | undefined;
+  /** Called after each poll, also when neither endpoint answered. */
   readonly onHint: (hint: HintReceived) => void;
 }
 
-/** Connections that the poller may hold at a time: one for each path. */
+/** Upper bound of the poller's open connections: one for each path. */
 export const MAX_HINT_CONNECTIONS = 2;
 const POLL_INTERVAL_MS = 1_000;
-/** A slower answer is none; shorter than the interval. */
+/** Time limit of one request; shorter than the interval. */
 const POLL_TIMEOUT_MS = 500;
 const MAX_ANSWER_BYTES = 4_096;
 
-/** Owns the polling of one backend server. */
+/** Polls one backend server until disposed. */
 export class HintPoller implements AsyncDisposable {
   readonly #options: HintPollerOptions;
   readonly #agent = new Agent({
@@ -35,7 +36,7 @@
     this.#options = options;
   }
 
-  /** Starts to poll; the next poll waits until the last one has ended. */
+  /** Starts polling; the interval begins when the previous poll has ended. */
   start(): void {
     this.#timer = setTimeout(async () => {
       await this.#poll();
--- a/src/engine/routing/test/fakes.ts
+++ b/src/engine/routing/test/fakes.ts
@@ -1,4 +1,4 @@
-/** Backend servers as small functions of load, driven in steps of time. */
+/** Simulated backend servers and a client that calls them, in 1 ms steps. */
 import type { Announcement } from "../../membership/common/announcement.ts";
 import { reduceRouting } from "../common/routing_reducer.ts";
 import type { RoutingEvent } from "../common/routing_reducer.ts";
@@ -37,20 +37,20 @@
   readonly result: "answered" | "failed" | "cancelled" | "refused";
 }
 
-/** What a fake backend server does with one attempt. */
+/** Decides the duration and result of an attempt at a simulated server. */
 export type Serve = (nodeId: string, nowMs: number) => {
-  readonly takesMs: number;
+  readonly durationMs: number;
   readonly result?: OpenAttempt["result"];
   readonly hintedLoad?: number;
 };
 
-/** One client that calls at a steady rate. */
+/** A client that sends attempts at a constant rate. */
 export class Simulation {
   state: RoutingState = createRoutingState(CLIENT);
   nowMs = 100_000;
-  serve: Serve = () => ({ takesMs: 10 });
+  serve: Serve = () => ({ durationMs: 10 });
   #open: (OpenAttempt & { readonly hintedLoad: number | undefined })[] = [];
-  #next = 0;
+  #nextAttempt = 0;
 
   apply(event: RoutingEvent): void {
     this.state = reduceRouting(this.state, event, this.nowMs).state;
@@ -60,10 +60,10 @@
     this.apply({ type: "MembersListed", service: SERVICE, members });
   }
 
-  /** Sends `perMs` attempts a millisecond; returns the counts by node. */
-  run(durationMs: number, perMs = 1): ReadonlyMap<string, number> {
+  /** Sends `perMs` attempts per millisecond; returns the counts by node id. */
+  run(runMs: number, perMs = 1): ReadonlyMap<string, number> {
     const counts = new Map<string, number>();
-    const endMs = this.nowMs + durationMs;
+    const endMs = this.nowMs + runMs;
     while (this.nowMs < endMs) {
       this.nowMs += 1;
       this.#finish();
@@ -76,16 +76,16 @@
   }
 
   #send(): string {
-    const attemptId = `attempt-${this.#next++}`;
+    const attemptId = `attempt-${this.#nextAttempt++}`;
     const { nowMs } = this;
     const request = { service: SERVICE, attemptId, tried: [], nowMs };
     const { nodeId } = selectBackend(this.state, request)!.announcement;
     this.apply({ type: "AttemptStarted", service: SERVICE, nodeId });
-    const { takesMs, result = "answered", hintedLoad } = this.serve(
+    const { durationMs, result = "answered", hintedLoad } = this.serve(
       nodeId,
       nowMs,
     );
-    const endsAtMs = nowMs + takesMs;
+    const endsAtMs = nowMs + durationMs;
     this.#open.push({
       nodeId,
       startedAtMs: nowMs,
--- a/src/engine/routing/test/routing_test.ts
+++ b/src/engine/routing/test/routing_test.ts
@@ -1,4 +1,4 @@
-/** Choice of backend servers: subset, stragglers, probes, panic, hints. */
+/** Selection of backend servers: subsets, ejection, probes and load hints. */
 import { expect } from "chai";
 import fc from "fast-check";
 import { computeEjectionLimit } from "../common/ejection.ts";
@@ -11,8 +11,8 @@
 import { CLIENT, createMember, SERVICE, Simulation } from "./fakes.ts";
 
 const IDS = ["m-1", "m-2", "m-3", "m-4", "m-5", "m-6"];
-/** Attempts a millisecond that fill half of the slots. */
-const BUSY_ATTEMPTS_PER_MS = 15;
+/** Attempts per millisecond that fill half of the slots at 10 ms each. */
+const BUSY_PER_MS = 15;
 const MEMBERS = IDS.map((id) => createMember(id));
 
 function createSimulation(members = MEMBERS): Simulation {
@@ -36,7 +36,7 @@
 }
 
 describe("routing subset", () => {
-  it("changes one place at most per half for one member more", () => {
+  it("changes at most one entry when a member is added", () => {
     const member = fc.record({
       nodeId: fc.uuid(),
       dataCentre: fc.constantFrom("dc-a", "dc-b", "dc-c"),
@@ -47,9 +47,9 @@
       maxLength: 60,
     });
     fc.assert(
-      fc.property(some, fc.nat(), (fields, pick) => {
+      fc.property(some, fc.nat(), (fields, index) => {
         const all = fields.map((f) => createMember(f.nodeId, f));
-        const rest = all.filter((_, i) => i !== pick % all.length);
+        const rest = all.filter((_, i) => i !== index % all.length);
         const before = chooseSubset(rest, CLIENT);
         const after = chooseSubset(all, CLIENT);
         const lost = before.filter((m) => !after.includes(m));
@@ -62,7 +62,7 @@
     );
   });
 
-  it("spreads the callers over a large service", () => {
+  it("distributes the callers over a large service", () => {
     const members = Array.from(
       { length: 40 },
       (_, i) => createMember(`m-${i}`),
@@ -79,7 +79,7 @@
     expect(Math.max(...callers.values())).to.be.below(2 * mean);
   });
 
-  it("stays near while two near ones take work, and spills over else", () => {
+  it("uses other data centres when fewer than two near members are available", () => {
     const far = createMember("far", { dataCentre: "dc-b" });
     const simulation = createSimulation([
       createMember("near-1"),
@@ -96,13 +96,13 @@
     expect(computeShare(drained, "far")).to.be.above(0.2);
   });
 
-  it("spills over when the near ones have no slot left", () => {
+  it("uses other data centres when the near members have no free slots", () => {
     const simulation = createSimulation([
       createMember("near-1", { slots: 4 }),
       createMember("near-2", { slots: 4 }),
       createMember("far", { dataCentre: "dc-b" }),
     ]);
-    simulation.serve = () => ({ takesMs: 40 });
+    simulation.serve = () => ({ durationMs: 40 });
     expect(computeShare(simulation.run(500), "far")).to.be.above(0.5);
   });
 });
@@ -110,46 +110,50 @@
 describe("routing by the node's own view", () => {
   it("takes a straggler out within a second, probes it, takes it back", () => {
     const simulation = createSimulation();
-    simulation.serve = (id) => ({ takesMs: id === "m-3" ? 300 : 10 });
-    simulation.run(1_000, BUSY_ATTEMPTS_PER_MS);
-    const slow = simulation.run(2_000, BUSY_ATTEMPTS_PER_MS);
+    simulation.serve = (id) => ({ durationMs: id === "m-3" ? 300 : 10 });
+    simulation.run(1_000, BUSY_PER_MS);
+    const slow = simulation.run(2_000, BUSY_PER_MS);
     expect(computeShare(slow, "m-3")).to.be.below(0.01);
     expect(slow.get("m-3") ?? 0).to.be.above(0);
-    simulation.serve = () => ({ takesMs: 10 });
+    simulation.serve = () => ({ durationMs: 10 });
     simulation.run(20_000);
     expect(computeShare(simulation.run(2_000), "m-3")).to.be.above(0.1);
   });
 
-  it("leaves a backend server that ends nothing, without any sample", () => {
+  it("avoids a stalled backend server before it has any latency sample", () => {
     const simulation = createSimulation();
-    simulation.serve = (id) => ({ takesMs: id === "m-3" ? 60_000 : 10 });
+    simulation.serve = (id) => ({ durationMs: id === "m-3" ? 60_000 : 10 });
     simulation.run(1_000, 5);
-    expect(simulation.run(1_000, BUSY_ATTEMPTS_PER_MS).get("m-3") ?? 0).to.be
+    expect(simulation.run(1_000, BUSY_PER_MS).get("m-3") ?? 0).to.be
       .below(5);
   });
 
-  it("takes a failing one out though it fails fast", () => {
+  it("ejects a failing backend server although it fails fast", () => {
     const simulation = createSimulation();
     simulation.serve = (id) =>
-      id === "m-3" ? { takesMs: 1, result: "failed" } : { takesMs: 10 };
-    simulation.run(200, BUSY_ATTEMPTS_PER_MS);
-    expect(computeShare(simulation.run(2_000, BUSY_ATTEMPTS_PER_MS), "m-3")).to
+      id === "m-3" ? { durationMs: 1, result: "failed" } : { durationMs: 10 };
+    simulation.run(200, BUSY_PER_MS);
+    expect(computeShare(simulation.run(2_000, BUSY_PER_MS), "m-3")).to
       .be.below(0.001);
   });
 
-  it("counts no cancellation by a caller against a backend server", () => {
+  it("doesn't count cancellations by callers as failures", () => {
     const simulation = createSimulation();
     simulation.serve = (id) =>
-      id === "m-3" ? { takesMs: 5, result: "cancelled" } : { takesMs: 10 };
+      id === "m-3"
+        ? { durationMs: 5, result: "cancelled" }
+        : { durationMs: 10 };
     expect(computeShare(simulation.run(2_000), "m-3")).to.be.above(0.1);
   });
 
-  it("counts a deadline that passed as at least so slow", () => {
+  it("counts a cancelled attempt as a latency of at least its duration", () => {
     const simulation = createSimulation();
     simulation.serve = (id) =>
-      id === "m-3" ? { takesMs: 200, result: "cancelled" } : { takesMs: 10 };
-    simulation.run(1_000, BUSY_ATTEMPTS_PER_MS);
-    expect(computeShare(simulation.run(4_000, BUSY_ATTEMPTS_PER_MS), "m-3")).to
+      id === "m-3"
+        ? { durationMs: 200, result: "cancelled" }
+        : { durationMs: 10 };
+    simulation.run(1_000, BUSY_PER_MS);
+    expect(computeShare(simulation.run(4_000, BUSY_PER_MS), "m-3")).to
       .be.below(0.002);
   });
 
@@ -160,10 +164,10 @@
         const simulation = createSimulation();
         simulation.serve = (id) =>
           !ids.includes(id)
-            ? { takesMs: 10 }
+            ? { durationMs: 10 }
             : isSlow
-            ? { takesMs: 200 }
-            : { takesMs: 1, result: "failed" };
+            ? { durationMs: 200 }
+            : { durationMs: 1, result: "failed" };
         for (let i = 0; i < 20; i++) {
           simulation.run(50);
           const limit = computeEjectionLimit(IDS.length);
@@ -178,7 +182,7 @@
     );
   });
 
-  it("gives a new incarnation a share that grows", () => {
+  it("increases the share of a new incarnation gradually", () => {
     const simulation = createSimulation();
     const renewed = createMember("m-3", { incarnation: 2 });
     simulation.apply({ type: "MemberPublished", announcement: renewed });
@@ -189,7 +193,7 @@
     expect(first).to.be.above(0);
   });
 
-  it("learns a drain from an answer, until a new incarnation", () => {
+  it("excludes a draining member by its answer until a new incarnation", () => {
     const simulation = createSimulation();
     const report = {
       service: SERVICE,
@@ -214,34 +218,34 @@
   it("leaves a lying load hint no more than ties", () => {
     const simulation = createSimulation();
     simulation.serve = (id) => ({
-      takesMs: id === "m-3" ? 30 : 10,
+      durationMs: id === "m-3" ? 30 : 10,
       hintedLoad: id === "m-3" ? 0 : 1,
     });
     simulation.run(500);
     const lying = computeShare(simulation.run(2_000), "m-3");
     const honest = createSimulation();
-    honest.serve = (id) => ({ takesMs: id === "m-3" ? 30 : 10 });
+    honest.serve = (id) => ({ durationMs: id === "m-3" ? 30 : 10 });
     honest.run(500);
     const without = computeShare(honest.run(2_000), "m-3");
     expect(lying).to.be.below(without + 0.1);
     expect(lying).to.be.below(1 / IDS.length);
   });
 
-  it("forgets a hint for which a backend server got no work", () => {
+  it("expires the hint of a backend server that gets no work", () => {
     const simulation = new Simulation();
     simulation.listMembers([createMember("m-1"), createMember("m-2")]);
     let hints: Readonly<Record<string, number>> = { "m-1": 0, "m-2": 100 };
-    // One attempt at a time, so that all is a tie.
-    simulation.serve = (id) => ({ takesMs: 1, hintedLoad: hints[id]! });
+    // One attempt at a time, so that every selection is a tie.
+    simulation.serve = (id) => ({ durationMs: 1, hintedLoad: hints[id]! });
     simulation.run(1_000);
-    const shunned = simulation.run(HINT_TTL_MS);
-    expect(computeShare(shunned, "m-2")).to.be.within(0.0001, 0.1);
+    const avoided = simulation.run(HINT_TTL_MS);
+    expect(computeShare(avoided, "m-2")).to.be.within(0.0001, 0.1);
     hints = { "m-1": 100, "m-2": 0 };
     simulation.run(2 * HINT_TTL_MS);
     expect(computeShare(simulation.run(1_000), "m-2")).to.be.greaterThan(0.9);
   });
 
-  it("never returns to a backend server that the call tried", () => {
+  it("never selects a backend server that the call has tried", () => {
     const simulation = createSimulation();
     const { state, nowMs } = simulation;
     for (let i = 0; i < 100; i++) {
