--- a/src/engine/link/common/cluster_messages.ts
+++ b/src/engine/link/common/cluster_messages.ts
@@ -1,4 +1,4 @@
-/** Messages between control replicas that concern the replicated state. */
+/** Messages between control replicas about the replicated state. */
 import type { ConsensusMessage } from "../../consensus/common/consensus_messages.ts";
 import type { HolderCommand } from "../../claims/common/holder_set_reducer.ts";
 import type {
@@ -6,26 +6,26 @@
   TableEdit,
 } from "../../table/common/table_reducer.ts";
 
-/** What a replica is to the others. */
+/** Role of a replica in the consensus group. */
 export type ReplicaRole = "leader" | "follower" | "learner" | "joining";
 
-/** Says who runs under an id of the settings, and how far it is. */
+/** Identifies the process behind a configured id, and reports its progress. */
 export interface ReplicaHello {
   readonly type: "ReplicaHello";
-  /** Id in the settings. */
+  /** Id of the replica in the settings. */
   readonly id: string;
-  /** Id that belongs to the data folder. */
+  /** Id stored in the data folder; changes when the folder is wiped. */
   readonly replicaId: string;
-  /** Nothing was ever written to the folder: no vote, no entry. */
+  /** Whether the folder has no vote and no log entry, and never had. */
   readonly isEmpty: boolean;
   readonly role: ReplicaRole;
   readonly term: number;
   readonly commitIndex: number;
-  /** Other replicas that it has heard lately, where they find each other. */
+  /** Ids of replicas that it received from recently; set with discovery. */
   readonly known?: readonly string[];
 }
 
-/** A message of consensus; dropped where `to` isn't the receiver. */
+/** A consensus message; discarded if `to` isn't the receiver's id. */
 export interface ConsensusRelay {
   readonly type: "ConsensusRelay";
   readonly from: string;
@@ -33,27 +33,27 @@
   readonly message: ConsensusMessage;
 }
 
-/** Hands an edit to the leader. */
+/** Forwards an edit to the leader, which answers with an `EditReply`. */
 export interface EditForward {
   readonly type: "EditForward";
   readonly requestId: string;
-  /** Id in the settings of the replica that asks. */
+  /** Id in the settings of the forwarding replica. */
   readonly from: string;
   readonly edit: TableEdit;
 }
 
-/** Hands a change of holders to the leader; there is no answer. */
+/** Forwards a change of holders to the leader; not answered. */
 export interface HolderForward {
   readonly type: "HolderForward";
   readonly command: HolderCommand;
 }
 
-/** What became of an edit. */
+/** Result of an edit. */
 export type EditResult =
   | { readonly type: "EditAnswered"; readonly outcome: EditOutcome }
   | {
     readonly type: "EditRefused";
-    /** Whether it was proposed, and may yet be committed. */
+    /** Whether the edit was proposed, so that it may still be committed. */
     readonly isUnknown: boolean;
   };
 
@@ -64,7 +64,7 @@
   readonly result: EditResult;
 }
 
-/** What control replicas say about the replicated state. */
+/** A message about the replicated state. */
 export type ClusterMessage =
   | ReplicaHello
   | ConsensusRelay
@@ -72,7 +72,7 @@
   | EditReply
   | HolderForward;
 
-/** Whether a message concerns the replicated state. */
+/** Whether a message is about the replicated state. */
 export function isClusterMessage(
   message: { readonly type: string },
 ): message is ClusterMessage {
--- a/src/engine/link/common/link_messages.ts
+++ b/src/engine/link/common/link_messages.ts
@@ -1,4 +1,4 @@
-/** Messages between nodes and control replicas, sent as msgpack over ws. */
+/** Messages between nodes and control replicas: msgpack over WebSocket. */
 import type { Announcement } from "../../membership/common/announcement.ts";
 import type { HolderSets } from "../../claims/common/claim_types.ts";
 import type { PresenceMessage } from "../../membership/common/presence_messages.ts";
@@ -11,15 +11,16 @@
 import type { Table } from "../../table/common/table_row.ts";
 import type { ClusterMessage } from "./cluster_messages.ts";
 
-/** What a node says to its control replica. */
+/** A message from a node to its control replica. */
 export type NodeMessage =
   | {
     readonly type: "Announce";
     readonly announcement: Announcement;
-    /** Counts the links that this process opened. */
+    /** Number of the link: counts the links opened by this process. */
     readonly linkNumber: number;
+    /** Version of the table in use at the node. */
     readonly tableVersion: number;
-    /** Left out by nodes that take no routes. */
+    /** Version of its routes; absent if the node uses no routes. */
     readonly routesVersion?: number;
   }
   | { readonly type: "Subscribe"; readonly service: string }
@@ -28,35 +29,36 @@
     readonly type: "Heartbeat";
     readonly tableVersion: number;
     readonly routesVersion?: number;
-    /** Asks for a proof that the routes are the newest; numbers grow. */
+    /** Number of a request for `RoutesProved`; increases with each. */
     readonly proof?: number;
-    /** Whether requests wait for that proof. */
+    /** Whether requests at the node wait for that proof. */
     readonly isUrgent?: boolean;
   }
-  /** What workspaces with a limit asked for and were let in at the node. */
+  /** Requested and admitted usage at the node of workspaces with a limit. */
   | {
     readonly type: "UsageReport";
     readonly usages: readonly WorkspaceUsage[];
   }
-  /** The records of an older epoch are copied. */
+  /** The node has copied the records of holders of an earlier epoch. */
   | {
     readonly type: "ReportCopied";
     readonly service: string;
     readonly epoch: number;
   }
-  /** A delta didn't fit the version that the node is at. */
+  /** Requests the table, as a delta didn't apply to the node's version. */
   | { readonly type: "TableFetch"; readonly tableVersion: number }
+  /** The node shuts down and stops serving. */
   | { readonly type: "Leave" };
 
-/** What arrives on a control replica's listener. */
+/** A message received on a control replica's link listener. */
 export type InboundMessage = NodeMessage | PresenceMessage | ClusterMessage;
 
-/** What a control replica says to a node. */
+/** A message from a control replica to a node. */
 export type ControlMessage =
   | {
     readonly type: "TableUpdate";
     readonly table: Table;
-    /** Whether the replica has proved that it is current. */
+    /** Whether the replica has proved that its table is current. */
     readonly isConfirmed: boolean;
   }
   | {
@@ -67,31 +69,31 @@
   | {
     readonly type: "RoutesUpdate";
     readonly routes: RouteTable;
-    /** Whether the replica has proved that they are current. */
+    /** Whether the replica has proved that its routes are current. */
     readonly isConfirmed: boolean;
   }
   /**
-   * A quorum vouched, after the question of this number came, that no version
-   * above this one was accepted.
+   * Proof for the node's request of this number: after the request was
+   * received, a quorum confirmed that no later version was committed.
    */
   | {
     readonly type: "RoutesProved";
     readonly number: number;
     readonly routesVersion: number;
   }
-  /** How much of the requests of workspaces over their limit to let in. */
+  /** Shares of requests to admit for workspaces over their limit. */
   | {
     readonly type: "SharesUpdate";
-    /** Those below 1; left out where the replica doesn't know yet. */
+    /** Workspaces with a share below 1; absent if not yet known. */
     readonly shares?: readonly WorkspaceShare[];
-    /** Nodes of all replicas. */
+    /** Number of nodes in the cluster, over all replicas. */
     readonly nodes: number;
   }
   | {
     readonly type: "MemberList";
     readonly service: string;
     readonly members: readonly Announcement[];
-    /** Whether who isn't listed is no member. */
+    /** Whether the list is complete; false shortly after a restart. */
     readonly isComplete: boolean;
   }
   | { readonly type: "MemberUpdate"; readonly announcement: Announcement }
@@ -101,26 +103,28 @@
     readonly nodeId: string;
   }
   | { readonly type: "HolderSetUpdate"; readonly sets: HolderSets }
+  /** Instructs the node to drain. */
   | { readonly type: "DrainOrder" }
   | {
     readonly type: "HeartbeatAnswer";
+    /** Whether the replica has proved that its state is current. */
     readonly isConfirmed: boolean;
-    /** Link addresses of all replicas, where no settings list them. */
+    /** Link addresses of all replicas; present with discovery. */
     readonly replicas?: readonly string[];
   };
 
-/** What a control replica sends on the links that it accepted. */
+/** A message sent by a control replica on an accepted link. */
 export type OutboundMessage =
   | ControlMessage
   | PresenceMessage
   | ClusterMessage;
 
-/** How often a node says that it lives. */
+/** Interval of heartbeats from a node to its control replica. */
 export const HEARTBEAT_INTERVAL_MS = 1_000;
-/** Silence after which the other end is given up. */
+/** Time without a message after which a link is closed. */
 export const LINK_TIMEOUT_MS = 3_500;
 
-/** Whether a message is one that replicas exchange. */
+/** Whether a message belongs to the presence protocol of the replicas. */
 export function isPresenceMessage(
   message: InboundMessage | OutboundMessage,
 ): message is PresenceMessage {
--- a/src/engine/link/common/link_reducer.ts
+++ b/src/engine/link/common/link_reducer.ts
@@ -1,62 +1,75 @@
-/** Which control replica a process holds its link to, and when it changes. */
+/** Selects the control replica that a process is linked to, with failover. */
 import { hashText } from "../../../base/common/hash.ts";
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { Reduction } from "../../../base/common/reduction.ts";
 import { LINK_TIMEOUT_MS } from "./link_messages.ts";
 
-/** The one link of a process. Times are wall clocks in milliseconds. */
+/** The link of a process to one control replica. Times are in milliseconds. */
 export interface LinkState {
-  /** Seeds the jitter. */
+  /** Id of the process; seeds the jitter. */
   readonly id: string;
   readonly pace: LinkTiming;
-  /** `host:port`, nearest first. */
+  /** Addresses as `host:port`, nearest first; never empty. */
   readonly replicas: readonly string[];
+  /** Index in `replicas` of the one in use, or of the next one to open. */
   readonly replicaIndex: number;
-  /** Counts the links that were opened; names the present one. */
+  /** Number of the current link: counts the links opened by this process. */
   readonly linkNumber: number;
   readonly phase: "waiting" | "connecting" | "open";
-  /** When the next link is opened, while waiting. */
+  /** When the next link is opened; applies while `waiting`. */
   readonly openAtMs: number;
+  /** Last message, or the start of connecting. */
   readonly lastReceivedAtMs: number;
+  /** When the current link was opened. */
   readonly openedAtMs: number;
-  /** Links that failed since one worked. */
+  /** Links that failed since a message was last received. */
   readonly consecutiveFailures: number;
+  /**
+   * First unconfirmed message of this link since its last confirmed one;
+   * undefined while confirmed. A replica without a quorum is not confirmed.
+   */
   readonly unconfirmedSinceMs: number | undefined;
-  /** Replicas left in a row for want of a quorum. */
+  /** Links abandoned since the last confirmed message for lack of a quorum. */
   readonly unconfirmedCount: number;
-  /** When the nearest replica is tried again, from `openedAtMs` on. */
+  /**
+   * Time since `openedAtMs` after which the nearest replica is tried again.
+   * Doubles with each try until a message from the nearest one is received.
+   */
   readonly returnAfterMs: number;
 }
 
-/** How soon a link is given up, and how long the next one waits. */
+/** Time limits and backoff of a link, in milliseconds. */
 export interface LinkTiming {
-  /** Longest time that opening a link may take. */
+  /** Time limit of opening a link. */
   readonly connectMs: number;
-  /** Silence after which the other end is given up. */
+  /** Time without a message after which a link is closed. */
   readonly silenceMs: number;
-  /** Longest backoff, in milliseconds. */
+  /** Upper bound of the backoff before the next link. */
   readonly maxBackoffMs: number;
-  /** How long a replica without a quorum is kept at first. */
+  /** How long a link to a replica without a quorum is kept initially. */
   readonly unconfirmedMs: number;
-  /** Longest that one is kept; doubled up to it while none has a quorum. */
+  /** Upper bound of the same; it doubles with each such replica in a row. */
   readonly maxUnconfirmedMs: number;
 }
 
-/** What happens to the link. */
+/** An event of the link. Events of an earlier `linkNumber` are ignored. */
 export type LinkEvent =
   | { readonly type: "LinkOpened"; readonly linkNumber: number }
   | { readonly type: "LinkClosed"; readonly linkNumber: number }
   | {
     readonly type: "MessageReceived";
     readonly linkNumber: number;
-    /** What the replica said of itself, if anything. */
+    /**
+     * Whether the replica has proved its state to be current, which takes a
+     * quorum; undefined if the message doesn't state it.
+     */
     readonly isConfirmed: boolean | undefined;
   }
-  /** The present link stays where its replica is still listed. */
+  /** New addresses; the current link stays open even if no longer listed. */
   | { readonly type: "ReplicasLearned"; readonly replicas: readonly string[] }
   | { readonly type: "Ticked" };
 
-/** What is done about it. */
+/** An effect that the link client performs. */
 export type LinkEffect =
   | {
     readonly type: "OpenLink";
@@ -65,22 +78,22 @@
   }
   | { readonly type: "CloseLink"; readonly linkNumber: number };
 
-/** A step of the link. */
+/** Result of reducing one event. */
 export type LinkStep = Reduction<LinkState, LinkEffect>;
 
-/** Longest time that opening a link may take. */
+/** Default time limit of opening a link. */
 export const CONNECT_TIMEOUT_MS = 1_500;
-/** First backoff, in milliseconds; doubled with each round. */
+/** Initial backoff; doubles with each round over all replicas. */
 export const MIN_BACKOFF_MS = 250;
-/** Longest backoff, in milliseconds. */
+/** Default upper bound of the backoff. */
 export const MAX_BACKOFF_MS = 5_000;
-/** How long a replica without a quorum is kept at first. */
+/** Default initial time on a replica without a quorum. */
 export const MIN_UNCONFIRMED_MS = 5_000;
-/** How long one is kept at most: a fleet that searches is a load. */
+/** Default upper bound of that time: a fleet that reconnects is a load. */
 export const MAX_UNCONFIRMED_MS = 320_000;
-/** When a process goes back to its nearest replica, at the least. */
+/** Initial time on a farther replica before returning to the nearest one. */
 export const MIN_RETURN_MS = 60_000;
-/** The pace where the settings name no other. */
+/** Timing of links whose options set none. */
 export const DEFAULT_LINK_TIMING: LinkTiming = {
   connectMs: CONNECT_TIMEOUT_MS,
   silenceMs: LINK_TIMEOUT_MS,
@@ -88,10 +101,12 @@
   unconfirmedMs: MIN_UNCONFIRMED_MS,
   maxUnconfirmedMs: MAX_UNCONFIRMED_MS,
 };
+/** Upper bound of the same, which doubles with each return. */
 const MAX_RETURN_MS = 960_000;
+/** Upper bound of the doublings of a backoff or a time limit. */
 const MAX_DOUBLINGS = 6;
 
-/** Creates a link that opens at the first tick. */
+/** Creates a link that is opened at the first tick. */
 export function createLink(
   id: string,
   replicas: readonly string[],
@@ -114,7 +129,7 @@
   };
 }
 
-/** Steps the link. */
+/** Reduces one event of the link. */
 export function reduceLink(
   state: LinkState,
   event: LinkEvent,
@@ -134,7 +149,7 @@
       return createReduction({
         ...state,
         phase: "open",
-        heardMs: nowMs,
+        lastReceivedAtMs: nowMs,
         openedAtMs: nowMs,
         unconfirmedSinceMs: undefined,
       });
@@ -160,15 +175,15 @@
   }
 }
 
-/** The replica in use keeps its place; those that are new come last. */
+/** Keeps the order of known replicas and the one in use; appends new ones. */
 function updateReplicas(
   state: LinkState,
-  learned: readonly string[],
+  listed: readonly string[],
 ): LinkState {
   const current = state.replicas[state.replicaIndex]!;
   const kept = state.replicas
-    .filter((replica) => replica === current || learned.includes(replica));
-  const added = learned.filter((replica) => !kept.includes(replica));
+    .filter((replica) => replica === current || listed.includes(replica));
+  const added = listed.filter((replica) => !kept.includes(replica));
   if (added.length === 0 && kept.length === state.replicas.length) {
     return state;
   }
@@ -184,13 +199,13 @@
   const { unconfirmedMs, maxUnconfirmedMs } = state.pace;
   const doubledMs = unconfirmedMs *
     2 ** Math.min(unconfirmedCount, MAX_DOUBLINGS);
-  const patienceMs = Math.min(maxUnconfirmedMs, doubledMs);
+  const limitMs = Math.min(maxUnconfirmedMs, doubledMs);
   const isUnconfirmed = unconfirmedSinceMs !== undefined &&
-    nowMs - unconfirmedSinceMs > patienceMs;
+    nowMs - unconfirmedSinceMs > limitMs;
   if (isUnconfirmed && replicas.length > 1) {
-    const index = (state.replicaIndex + 1) % replicas.length;
+    const replicaIndex = (state.replicaIndex + 1) % replicas.length;
     return closeLink(state, {
-      ...scheduleLink(state, index, nowMs),
+      ...scheduleLink(state, replicaIndex, nowMs),
       unconfirmedCount: unconfirmedCount + 1,
     });
   }
@@ -225,7 +240,7 @@
   isConfirmed: boolean | undefined,
   nowMs: number,
 ): LinkState {
-  const heard: LinkState = {
+  const received: LinkState = {
     ...state,
     lastReceivedAtMs: nowMs,
     consecutiveFailures: 0,
@@ -235,31 +250,37 @@
   };
   switch (isConfirmed) {
     case undefined:
-      return heard;
+      return received;
     case true:
-      return { ...heard, unconfirmedSinceMs: undefined, unconfirmedCount: 0 };
+      return {
+        ...received,
+        unconfirmedSinceMs: undefined,
+        unconfirmedCount: 0,
+      };
     case false: {
       const unconfirmedSinceMs = state.unconfirmedSinceMs ?? nowMs;
-      return { ...heard, unconfirmedSinceMs };
+      return { ...received, unconfirmedSinceMs };
     }
   }
 }
 
-/** A link that worked is replaced by the nearest other one. */
+/**
+ * Schedules the link after a failure: to the nearest other replica if the link
+ * was open and no failure preceded it, otherwise to the next in the list.
+ */
 function recordFailure(state: LinkState, nowMs: number): LinkState {
-  const { replicas, replicaIndex: index, consecutiveFailures: failures } =
-    state;
-  const isWorking = state.phase === "open" && failures === 0;
-  const nearest = index === 0 ? 1 : 0;
-  const next = isWorking ? nearest : index + 1;
-  const failed = { ...state, failures: failures + 1 };
+  const { replicas, replicaIndex, consecutiveFailures } = state;
+  const isWorking = state.phase === "open" && consecutiveFailures === 0;
+  const nearest = replicaIndex === 0 ? 1 : 0;
+  const next = isWorking ? nearest : replicaIndex + 1;
+  const failed = { ...state, consecutiveFailures: consecutiveFailures + 1 };
   return scheduleLink(failed, next % replicas.length, nowMs);
 }
 
-/** Waits with a backoff that grows with each round over all replicas. */
+/** Schedules a link with a jittered backoff that doubles with each round. */
 function scheduleLink(
   state: LinkState,
-  index: number,
+  replicaIndex: number,
   nowMs: number,
 ): LinkState {
   const round = Math.floor(state.consecutiveFailures / state.replicas.length);
@@ -270,14 +291,14 @@
   const delayMs = backoffMs * (1 + computeJitter(state)) / 2;
   return {
     ...state,
-    replicaIndex: index,
+    replicaIndex,
     phase: "waiting",
     openAtMs: nowMs + delayMs,
     unconfirmedSinceMs: undefined,
   };
 }
 
-/** From 0 to 1; differs between processes and between links. */
+/** Computes a jitter from 0 to 1 that differs by process and by link. */
 function computeJitter(state: LinkState): number {
   return hashText(`${state.id}/${state.linkNumber}`) / 2 ** 32;
 }
--- a/src/engine/link/common/node_inbox.ts
+++ b/src/engine/link/common/node_inbox.ts
@@ -1,11 +1,11 @@
-/** What a control replica's message means to a node. */
+/** Converts messages of a control replica into events of the node. */
 import type { HolderSets } from "../../claims/common/claim_types.ts";
 import type { RoutingEvent } from "../../routing/common/routing_reducer.ts";
 import { applyTableDelta } from "../../table/common/table_delta.ts";
 import type { Table } from "../../table/common/table_row.ts";
 import type { ControlMessage, NodeMessage } from "./link_messages.ts";
 
-/** What a node knows that a message is read against. */
+/** State of the node that the meaning of a message depends on. */
 export interface InboxContext {
   readonly table: Table;
   readonly isServiceKnown: (service: string) => boolean;
@@ -22,13 +22,13 @@
   | { readonly type: "DrainRequested" }
   | RoutingEvent;
 
-/** Events for the node, and what is said back. */
+/** Events for the node's reducer, and the reply to the replica, if any. */
 export interface InboxResult {
   readonly events: readonly InboxEvent[];
   readonly reply: NodeMessage | undefined;
 }
 
-/** Reads one message. */
+/** Converts one message; types that the node doesn't use have no effect. */
 export function readControlMessage(
   message: ControlMessage,
   view: InboxContext,
@@ -56,7 +56,7 @@
   }
 }
 
-/** A delta that doesn't fit is fetched anew; an old one is passed over. */
+/** Applies a delta. Requests the table if there is a gap; ignores old deltas. */
 function readTableChange(
   message: Extract<ControlMessage, { type: "TableChange" }>,
   current: Table,
@@ -72,7 +72,10 @@
     : createResult();
 }
 
-/** A replica that has just started doesn't know whom it leaves out. */
+/**
+ * Replaces the members only by a complete list. A replica that has just started
+ * doesn't know all members yet, so its list adds members and removes none.
+ */
 function readMemberList(
   message: Extract<ControlMessage, { type: "MemberList" }>,
   view: InboxContext,
--- a/src/engine/link/common/subscriptions.ts
+++ b/src/engine/link/common/subscriptions.ts
@@ -1,15 +1,15 @@
-/** Services whose members a node is told of: those that it calls. */
+/** Services that a node calls, and whose members it subscribes to. */
 import { setEntry } from "../../../base/common/maps.ts";
 
-/** When each service was last called: wall clocks in milliseconds. */
+/** Time of the last recorded call by service: wall clock in milliseconds. */
 export type Subscriptions = ReadonlyMap<string, number>;
 
-/** A service that isn't called for so long is unsubscribed. */
+/** Time without a call after which a service is unsubscribed. */
 export const SUBSCRIPTION_IDLE_MS = 600_000;
-/** Calls within so long of the last one noted cost nothing. */
+/** Shortest interval between recorded calls, to avoid a copy for each call. */
 const RECORD_INTERVAL_MS = 60_000;
 
-/** Notes a call; the same map where the service was noted a moment ago. */
+/** Records a call; returns the same map within the record interval. */
 export function recordUse(
   subscriptions: Subscriptions,
   service: string,
@@ -21,7 +21,7 @@
     : setEntry(subscriptions, service, nowMs);
 }
 
-/** Finds the services that haven't been called for long. */
+/** Lists the services whose subscription has been idle for too long. */
 export function findUnused(
   subscriptions: Subscriptions,
   nowMs: number,
