--- a/src/engine/link/node/clocked_message.ts
+++ b/src/engine/link/node/clocked_message.ts
@@ -1,11 +1,11 @@
-/** Messages on links carry the sender's clock beside their own fields. */
+/** Encoding of link messages with the clock of the sender. */
 import { encodeMessage } from "../../../base/node/message_codec.ts";
 import type { ProcessClock } from "../../telemetry/common/process_clock.ts";
 
-/** A message as it arrives; the clock is not yet checked. */
+/** A received message; its clock has not been validated. */
 export type Clocked<M> = M & { readonly clock?: unknown };
 
-/** Encodes a message with the clock as it stands. */
+/** Encodes a message with the current clock, if there is one. */
 export function encodeClocked(
   message: object,
   clock: ProcessClock | undefined,
--- a/src/engine/link/node/link_client.ts
+++ b/src/engine/link/node/link_client.ts
@@ -1,4 +1,4 @@
-/** One link to a control replica: the socket that the link reducer asks for. */
+/** Client end of a link: performs the effects of the link reducer. */
 import { WebSocket } from "ws";
 import { EventLoop } from "../../../base/node/event_loop.ts";
 import { startTicks } from "../../../base/node/shared_ticks.ts";
@@ -26,31 +26,31 @@
   readonly type: string;
 }
 
-/** What the client is built from. */
+/** Options of a link client. */
 export interface LinkClientOptions<
   In extends TypedMessage,
   Out extends TypedMessage,
 > {
   /** Id of this process; seeds the jitter. */
   readonly id: string;
-  /** Presented to the replicas; plain links without it. */
+  /** Certificate shown to the replicas; links are not encrypted without. */
   readonly tls?: TlsKeys | undefined;
   /** `host:port` of the control replicas, nearest first. */
   readonly replicas: readonly string[];
   readonly onMessage: (message: In, replica: string) => void;
-  /** A link is open: announce and subscribe anew. */
+  /** Called when a link opens, to announce and subscribe again. */
   readonly onOpen: (replica: string, linkNumber: number) => void;
   readonly onClose: (replica: string) => void;
-  /** Whether the sender says that it is current; undefined: not said. */
+  /** Returns whether the sender has a quorum; undefined if not stated. */
   readonly readConfirmed: (message: In) => boolean | undefined;
-  /** Undefined where other messages show often enough that this end lives. */
+  /** Undefined if other messages are frequent enough to prevent a timeout. */
   readonly createHeartbeat: (() => Out) | undefined;
-  /** Rides on every message, both ways. */
+  /** Sent with every message, and updated by received ones. */
   readonly clock?: ProcessClock | undefined;
   readonly pace?: LinkTiming | undefined;
 }
 
-/** Payloads of the messages of a link, without frames and packets. */
+/** Message payloads of all links of a client, without framing overhead. */
 export interface LinkTraffic {
   readonly sentBytes: number;
   readonly sentCount: number;
@@ -59,9 +59,10 @@
 }
 
 const TICK_MS = 100;
+/** Time limit of the closing handshake on disposal. */
 const CLOSE_TIMEOUT_MS = 250;
 
-/** Keeps one link open and goes to another replica when it fails. */
+/** Keeps one link open, and fails over to another replica. */
 export class LinkClient<In extends TypedMessage, Out extends TypedMessage>
   implements AsyncDisposable {
   readonly #options: LinkClientOptions<In, Out>;
@@ -93,12 +94,12 @@
     this.#loop.dispatch({ type: "Ticked" });
   }
 
-  /** Takes the replicas that a link may go to from here on. */
+  /** Replaces the replicas that links are opened to. */
   updateReplicas(replicas: readonly string[]): void {
     this.#loop.dispatch({ type: "ReplicasLearned", replicas });
   }
 
-  /** Adds replicas to those that a link may go to. */
+  /** Adds replicas to those that links are opened to. */
   addReplicas(replicas: readonly string[]): void {
     const { replicas: known } = this.#loop.state;
     this.updateReplicas([...new Set([...known, ...replicas])]);
@@ -109,12 +110,12 @@
     return this.#socket?.readyState === WebSocket.OPEN;
   }
 
-  /** Sends if a link is open; presence is told anew when one opens. */
+  /** Sends if a link is open, else drops: `onOpen` sends the state again. */
   send(message: Out): void {
     this.sendBytes(encodeClocked(message, this.#options.clock));
   }
 
-  /** Sends an encoded message if a link is open. */
+  /** Sends an encoded message if a link is open, else drops it. */
   sendBytes(bytes: Uint8Array): void {
     if (this.isOpen) {
       this.#sentBytes += bytes.length;
@@ -123,7 +124,7 @@
     }
   }
 
-  /** Reads what went over all links since the start. */
+  /** Returns the traffic of all links since the client was created. */
   readTraffic(): LinkTraffic {
     return {
       sentBytes: this.#sentBytes,
@@ -171,10 +172,14 @@
       perMessageDeflate: false,
     });
     this.#socket = socket;
-    this.#watch(socket, replica, linkNumber);
+    this.#attachHandlers(socket, replica, linkNumber);
   }
 
-  #watch(socket: WebSocket, replica: string, linkNumber: number): void {
+  #attachHandlers(
+    socket: WebSocket,
+    replica: string,
+    linkNumber: number,
+  ): void {
     const { onOpen, onClose, createHeartbeat } = this.#options;
     const stopHeartbeats = createHeartbeat === undefined
       ? () => {}
--- a/src/engine/link/node/link_server.ts
+++ b/src/engine/link/node/link_server.ts
@@ -1,4 +1,4 @@
-/** The control replica's end of the links to nodes. */
+/** Server end of links: accepts them from nodes and other replicas. */
 import type { Server } from "node:http";
 import { WebSocketServer } from "ws";
 import type { WebSocket } from "ws";
@@ -15,30 +15,31 @@
 import { encodeClocked } from "./clocked_message.ts";
 import type { Clocked } from "./clocked_message.ts";
 
-/** What the server is built from. */
+/** Options of a link server. */
 export interface LinkServerOptions {
   readonly address: ListenAddress;
-  /** With it, only clients of the authority are taken. */
+  /** If set, clients need a certificate of the authority. */
   readonly tls?: TlsKeys | undefined;
   readonly onMessage: (linkId: number, message: InboundMessage) => void;
   readonly onClose: (linkId: number) => void;
-  /** Rides on every message, both ways. */
+  /** Sent with every message, and updated by received ones. */
   readonly clock: ProcessClock;
-  /** Silence after which a link is closed. */
+  /** Time without a message after which a link is closed. */
   readonly silenceMs?: number | undefined;
 }
 
 const MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
+/** Unsent bytes of a link above which it is closed. */
 const MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 
-/** Accepts links and tells them apart by number. */
+/** Accepts links and identifies them by number. */
 export class LinkServer implements AsyncDisposable {
   readonly #options: LinkServerOptions;
   readonly #http: Server;
   readonly #sockets: WebSocketServer;
   readonly #links = new Map<number, WebSocket>();
-  #nextLink = 1;
-  #last:
+  #nextLinkId = 1;
+  #lastEncoded:
     | { readonly message: OutboundMessage; readonly bytes: Uint8Array }
     | undefined;
 
@@ -58,7 +59,7 @@
     await listen(this.#http, this.#options.address);
   }
 
-  /** Sends to one link; a closed one is passed over, a clogged one closed. */
+  /** Sends to one link. Ignores closed links; closes congested ones. */
   send(linkId: number, message: OutboundMessage): void {
     const socket = this.#links.get(linkId);
     if (socket === undefined) {
@@ -80,24 +81,24 @@
     await new Promise<void>((resolve) => this.#http.close(() => resolve()));
   }
 
-  /** A message to many links is encoded once. */
+  /** Encodes a message once when it is sent to many links in a row. */
   #encode(message: OutboundMessage): Uint8Array {
-    if (this.#last?.message !== message) {
+    if (this.#lastEncoded?.message !== message) {
       const bytes = encodeClocked(message, this.#options.clock);
-      this.#last = { message, bytes };
+      this.#lastEncoded = { message, bytes };
     }
-    return this.#last.bytes;
+    return this.#lastEncoded.bytes;
   }
 
   #accept(socket: WebSocket): void {
-    const linkId = this.#nextLink++;
+    const linkId = this.#nextLinkId++;
     this.#links.set(linkId, socket);
-    const silence = setTimeout(
+    const timeout = setTimeout(
       () => socket.terminate(),
       this.#options.silenceMs ?? LINK_TIMEOUT_MS,
     );
     socket.on("message", (data: Buffer) => {
-      silence.refresh();
+      timeout.refresh();
       const message = decodeMessage<Clocked<InboundMessage>>(data);
       if (message === undefined) {
         socket.terminate();
@@ -108,7 +109,7 @@
     });
     socket.on("error", () => socket.terminate());
     socket.on("close", () => {
-      clearTimeout(silence);
+      clearTimeout(timeout);
       this.#links.delete(linkId);
       this.#options.onClose(linkId);
     });
--- a/src/engine/link/node/replica_links.ts
+++ b/src/engine/link/node/replica_links.ts
@@ -1,4 +1,4 @@
-/** The links that a control replica opens to the others. */
+/** Links that a control replica opens to the other replicas. */
 import type { TlsKeys } from "../../../base/node/tls.ts";
 import type { ProcessClock } from "../../telemetry/common/process_clock.ts";
 import type { PresenceMessage } from "../../membership/common/presence_messages.ts";
@@ -8,10 +8,10 @@
 import type { LinkTiming } from "../common/link_reducer.ts";
 import { LinkClient } from "./link_client.ts";
 
-/** What replicas say to each other. */
+/** A message from one replica to another. */
 export type ReplicaMessage = PresenceMessage | ClusterMessage;
 
-/** What the links are built from. */
+/** Options of the links between replicas. */
 export interface ReplicaLinksOptions {
   /** Id of this replica. */
   readonly id: string;
@@ -25,7 +25,7 @@
 
 type ReplicaLink = LinkClient<OutboundMessage, ReplicaMessage>;
 
-/** Holds one link to every other replica. */
+/** Keeps one link to every other replica. */
 export class ReplicaLinks implements AsyncDisposable {
   readonly #options: ReplicaLinksOptions;
   readonly #clients = new Map<string, ReplicaLink>();
@@ -34,12 +34,12 @@
     this.#options = options;
   }
 
-  /** Starts connecting. */
+  /** Opens the links to all configured replicas. */
   open(): void {
     this.#options.replicas.forEach((replica) => this.add(replica));
   }
 
-  /** Holds a link to one more replica. */
+  /** Opens a link to one more replica, unless there is one. */
   add(replica: string): void {
     if (!this.#clients.has(replica)) {
       const client = this.#createClient(replica);
@@ -48,14 +48,14 @@
     }
   }
 
-  /** Gives the link to a replica up. */
+  /** Closes the link to a replica. */
   remove(replica: string): void {
     const client = this.#clients.get(replica);
     this.#clients.delete(replica);
     client?.[Symbol.asyncDispose]();
   }
 
-  /** Sends to every replica that is linked; encoded once. */
+  /** Sends to all linked replicas; encodes the message once. */
   sendAll(message: PresenceMessage): void {
     const bytes = encodeClocked(message, this.#options.clock);
     for (const client of this.#clients.values()) {
--- a/src/engine/link/test/link_reducer_test.ts
+++ b/src/engine/link/test/link_reducer_test.ts
@@ -1,4 +1,4 @@
-/** Which replica a link goes to, and when. */
+/** Selection of the replica of a link: failover, backoff and return. */
 import { expect } from "chai";
 import { LINK_TIMEOUT_MS } from "../common/link_messages.ts";
 import {
@@ -16,18 +16,21 @@
 
 const TICK_MS = 100;
 
-/** One link over replicas that a test lets live, die or lose the quorum. */
+/** Runs one link over simulated replicas with faults set by the test. */
 class LinkRun {
   nowMs = 1_000_000;
   state: LinkState;
+  /** Replicas that accept links; the others refuse them. */
   readonly alive = new Set<string>();
+  /** Replicas without a quorum. */
   readonly unconfirmed = new Set<string>();
+  /** Replicas that accept links but send no messages. */
   readonly silent = new Set<string>();
-  /** These don't answer at all. */
-  readonly dark = new Set<string>();
+  /** Replicas that neither accept nor refuse links. */
+  readonly unreachable = new Set<string>();
   readonly opened: string[] = [];
   readonly openedAtMs: number[] = [];
-  #current: string | undefined;
+  #linked: string | undefined;
 
   constructor(id: string, replicas: readonly string[], pace?: LinkTiming) {
     this.state = createLink(id, replicas, pace);
@@ -35,21 +38,21 @@
   }
 
   get replica(): string | undefined {
-    return this.#current;
+    return this.#linked;
   }
 
   kill(replica: string): void {
     this.alive.delete(replica);
-    if (this.#current === replica) {
+    if (this.#linked === replica) {
       this.#close();
     }
   }
 
-  pass(ms: number): void {
+  advance(ms: number): void {
     for (const endMs = this.nowMs + ms; this.nowMs < endMs;) {
       this.nowMs += TICK_MS;
-      if (this.#current !== undefined && !this.silent.has(this.#current)) {
-        const isConfirmed = !this.unconfirmed.has(this.#current);
+      if (this.#linked !== undefined && !this.silent.has(this.#linked)) {
+        const isConfirmed = !this.unconfirmed.has(this.#linked);
         const { linkNumber } = this.state;
         this.#dispatch({ type: "MessageReceived", linkNumber, isConfirmed });
       }
@@ -58,7 +61,7 @@
   }
 
   #close(): void {
-    this.#current = undefined;
+    this.#linked = undefined;
     const { linkNumber } = this.state;
     this.#dispatch({ type: "LinkClosed", linkNumber });
   }
@@ -68,17 +71,17 @@
     this.state = step.state;
     for (const effect of step.effects) {
       if (effect.type === "CloseLink") {
-        this.#current = undefined;
+        this.#linked = undefined;
         continue;
       }
       this.opened.push(effect.replica);
       this.openedAtMs.push(this.nowMs);
       const { linkNumber } = effect;
-      if (this.dark.has(effect.replica)) {
+      if (this.unreachable.has(effect.replica)) {
         continue;
       }
       if (this.alive.has(effect.replica)) {
-        this.#current = effect.replica;
+        this.#linked = effect.replica;
         this.#dispatch({ type: "LinkOpened", linkNumber });
       } else {
         this.#dispatch({ type: "LinkClosed", linkNumber });
@@ -90,59 +93,59 @@
 describe("link to a control replica", () => {
   it("opens to the nearest replica", () => {
     const run = new LinkRun("n1", ["a", "b", "c"]);
-    run.pass(1_000);
+    run.advance(1_000);
     expect(run.replica).to.equal("a");
   });
 
-  it("goes to the next one when its replica dies", () => {
+  it("fails over to the next replica when its replica crashes", () => {
     const run = new LinkRun("n1", ["a", "b", "c"]);
-    run.pass(1_000);
+    run.advance(1_000);
     run.kill("a");
-    run.pass(1_000);
+    run.advance(1_000);
     expect(run.opened).to.deep.equal(["a", "b"]);
   });
 
-  it("changes the replica on silence", () => {
+  it("fails over when its replica sends no messages", () => {
     const run = new LinkRun("n1", ["a", "b"]);
-    run.pass(1_000);
+    run.advance(1_000);
     run.silent.add("a");
-    run.pass(LINK_TIMEOUT_MS + 1_000);
+    run.advance(LINK_TIMEOUT_MS + 1_000);
     expect(run.replica).to.equal("b");
   });
 
-  it("takes the nearest one that works, when a farther one dies", () => {
+  it("fails over to the nearest available replica", () => {
     const run = new LinkRun("n1", ["a", "b", "c"]);
     run.kill("a");
     run.kill("b");
-    run.pass(2_000);
+    run.advance(2_000);
     expect(run.replica).to.equal("c");
     run.alive.add("a");
     run.kill("c");
-    run.pass(2_000);
+    run.advance(2_000);
     expect(run.replica).to.equal("a");
   });
 
-  it("leaves a replica without a quorum for one that has it", () => {
+  it("leaves a replica without a quorum for one with a quorum", () => {
     const run = new LinkRun("n1", ["a", "b"]);
     run.unconfirmed.add("a");
-    run.pass(MIN_UNCONFIRMED_MS + 1_000);
+    run.advance(MIN_UNCONFIRMED_MS + 1_000);
     expect(run.replica).to.equal("b");
-    run.pass(MIN_RETURN_MS / 2);
+    run.advance(MIN_RETURN_MS / 2);
     expect(run.opened).to.deep.equal(["a", "b"]);
   });
 
-  it("changes ever more rarely where no replica has a quorum", () => {
+  it("changes replicas at growing intervals while none has a quorum", () => {
     const run = new LinkRun("n1", ["a", "b"]);
     run.unconfirmed.add("a").add("b");
-    run.pass(600_000);
+    run.advance(600_000);
     expect(run.opened.length).to.be.lessThan(10);
   });
 
-  it("backs off up to a bound while all are dead, and differs by id", () => {
+  it("backs off up to a limit while no replica is available, with jitter by id", () => {
     const times = ["n1", "n2"].map((id) => {
       const run = new LinkRun(id, ["a", "b"]);
       run.alive.clear();
-      run.pass(60_000);
+      run.advance(60_000);
       const gaps = run.openedAtMs.slice(1)
         .map((atMs, index) => atMs - run.openedAtMs[index]!);
       expect(Math.max(...gaps)).to.be.at.most(MAX_BACKOFF_MS + TICK_MS);
@@ -152,25 +155,25 @@
     expect(times[0]).to.not.deep.equal(times[1]);
   });
 
-  it("goes back to the nearest replica after a while", () => {
+  it("returns to the nearest replica after the return interval", () => {
     const run = new LinkRun("n1", ["a", "b"]);
-    run.pass(1_000);
+    run.advance(1_000);
     run.kill("a");
-    run.pass(1_000);
+    run.advance(1_000);
     run.alive.add("a");
-    run.pass(MIN_RETURN_MS * 2 + 1_000);
+    run.advance(MIN_RETURN_MS * 2 + 1_000);
     expect(run.replica).to.equal("a");
   });
 
-  it("ignores what a former link says", () => {
+  it("ignores events of an earlier link", () => {
     const run = new LinkRun("n1", ["a", "b"]);
-    run.pass(1_000);
+    run.advance(1_000);
     const before = run.state;
     const late: LinkEvent = { type: "LinkClosed", linkNumber: 0 };
     expect(reduceLink(before, late, run.nowMs).state).to.equal(before);
   });
 
-  it("passes the replicas behind a cut by at its own pace", () => {
+  it("skips unreachable replicas within the limits of its timing", () => {
     const replicas = Array.from({ length: 15 }, (_, at) => `r${at}:1`);
     const behind = replicas.slice(0, 7);
     const run = new LinkRun("n1", replicas, {
@@ -180,8 +183,8 @@
       unconfirmedMs: 300,
       maxUnconfirmedMs: 400,
     });
-    behind.forEach((replica) => run.dark.add(replica));
-    run.pass(behind.length * (600 + 250 + 2 * TICK_MS));
+    behind.forEach((replica) => run.unreachable.add(replica));
+    run.advance(behind.length * (600 + 250 + 2 * TICK_MS));
     expect(run.replica).to.equal("r7:1");
   });
 
@@ -198,9 +201,9 @@
       .filter((id) => {
         const run = new LinkRun(id, replicas, pace);
         replicas.forEach((replica) => run.unconfirmed.add(replica));
-        run.pass(5_000);
+        run.advance(5_000);
         ["c:1", "d:1", "e:1"].forEach((side) => run.unconfirmed.delete(side));
-        run.pass(2_000);
+        run.advance(2_000);
         return run.replica === undefined || run.unconfirmed.has(run.replica);
       });
     expect(late).to.deep.equal([]);
--- a/src/engine/link/test/node_inbox_test.ts
+++ b/src/engine/link/test/node_inbox_test.ts
@@ -1,4 +1,4 @@
-/** What a node makes of a replica's messages, and what it subscribes to. */
+/** Conversion of a replica's messages into events, and subscriptions. */
 import { expect } from "chai";
 import { createAnnouncement } from "../../membership/test/replicas.ts";
 import { EMPTY_TABLE } from "../../table/common/table_row.ts";
@@ -19,8 +19,8 @@
   return { type: "TableChange", delta, isConfirmed: true } as const;
 }
 
-describe("a node's reading of its control replica", () => {
-  it("applies a delta that fits", () => {
+describe("messages of a control replica", () => {
+  it("applies a delta to the node's version", () => {
     const { events, reply } = readControlMessage(createChange(4, 5), VIEW);
     expect(events).to.deep.equal([{
       type: "TableReceived",
@@ -30,18 +30,18 @@
     expect(reply).to.equal(undefined);
   });
 
-  it("fetches the table where a delta was lost", () => {
+  it("requests the table after a lost delta", () => {
     const { events, reply } = readControlMessage(createChange(5, 6), VIEW);
     expect(events).to.deep.equal([]);
     expect(reply).to.deep.equal({ type: "TableFetch", tableVersion: 4 });
   });
 
-  it("passes over a delta that comes twice", () => {
+  it("ignores a duplicate delta", () => {
     const result = readControlMessage(createChange(2, 4), VIEW);
     expect(result).to.deep.equal({ events: [], reply: undefined });
   });
 
-  it("forgets nobody whom a replica that just started leaves out", () => {
+  it("removes no members by the incomplete list of a restarted replica", () => {
     const list = {
       type: "MemberList",
       service: "provenance",
@@ -57,7 +57,7 @@
 });
 
 describe("subscriptions", () => {
-  it("end after a long time without a call", () => {
+  it("expire after the idle time", () => {
     const first = recordUse(new Map(), "provenance", 0);
     const both = recordUse(first, "custody", SUBSCRIPTION_IDLE_MS);
     expect(findUnused(both, SUBSCRIPTION_IDLE_MS)).to.deep.equal([]);
@@ -66,7 +66,7 @@
     ]);
   });
 
-  it("cost nothing for calls in quick succession", () => {
+  it("stay the same map for calls within the record interval", () => {
     const first = recordUse(new Map(), "provenance", 0);
     expect(recordUse(first, "provenance", 1_000)).to.equal(first);
   });
