--- a/src/engine/peer/common/peer_messages.ts
+++ b/src/engine/peer/common/peer_messages.ts
@@ -1,4 +1,4 @@
-/** Messages between nodes beside the calls: msgpack over HTTP, one answer each. */
+/** Requests between nodes other than calls: msgpack over HTTP. */
 
 import type {
   ClaimMessage,
@@ -9,50 +9,56 @@
   QuarantineReply,
 } from "../../quarantine/common/quarantine_messages.ts";
 
-/** What one node asks another. */
+/** A request from one node to another. */
 export type PeerMessage =
   | ClaimMessage
   | QuarantineMessage
-  /** What became of attempts? One that was never seen can't run later. */
+  /**
+   * Requests the status of attempts. An attempt that the addressed process has
+   * never received is fenced: it is refused if it arrives later.
+   */
   | {
     readonly type: "FenceAttempts";
-    /** Of the node that the attempts were sent to. */
+    /** Incarnation of the node that the attempts were sent to. */
     readonly incarnation: number;
     readonly attempts: readonly AttemptStatusQuery[];
   };
 
-/** An attempt that its receiver is asked about. */
+/** An attempt whose status is requested from its receiver. */
 export interface AttemptStatusQuery {
   readonly attemptId: string;
   /** Time since the attempt was sent, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** The answer. */
+/** The reply to a peer message. */
 export type PeerReply =
   | ClaimReply
   | QuarantineReply
-  /** What was found of each attempt, in the order of the question. */
+  /** Statuses of the attempts, in the order of the request. */
   | {
     readonly type: "AttemptsFound";
     readonly found: readonly AttemptStatusReply[];
   };
 
-/** What a receiver knows of an attempt. */
+/** Status of an attempt at its receiver. */
 export type AttemptStatusReply =
-  /** The attempt did not run here, and will be refused from now on. */
+  /** The attempt did not run here, and is refused from now on. */
   | { readonly type: "AttemptFenced" }
-  /** This process can't tell: it started later, or has forgotten. */
+  /**
+   * Unknown: this process started after the attempt was sent, or has discarded
+   * its record.
+   */
   | { readonly type: "AttemptForgotten" }
-  /** The attempt is, or was, here. */
+  /** The attempt is being served, or has ended. */
   | { readonly type: "AttemptKnown"; readonly phase: AttemptPhase };
 
-/** How far a known attempt is. */
+/** Progress of a known attempt. */
 export type AttemptPhase =
   | "queued"
   | "running"
   | "relaying"
-  /** The answer is relayed, but whoever asked doesn't take more of it. */
+  /** The answer is being relayed, but its receiver reads no further data. */
   | "blocked"
   | "ended";
 
@@ -70,10 +76,10 @@
   CheckSuspects: true,
 };
 
-/** Whether a message is of a type that this version knows. */
+/** Whether this version supports the type of a message. */
 export function isKnownMessage(message: { readonly type: string }): boolean {
   return Object.hasOwn(MESSAGE_TYPES, message.type);
 }
 
-/** Path of these messages on the ingress listener. */
+/** Path of peer messages on the ingress listener. */
 export const PEER_PATH = "/.basilpin/peer";
--- a/src/engine/peer/node/peer_client.ts
+++ b/src/engine/peer/node/peer_client.ts
@@ -1,4 +1,4 @@
-/** Sends peer messages and brings the answers back. */
+/** HTTP client for peer messages. */
 import { Agent } from "undici";
 import {
   decodeMessage,
@@ -14,25 +14,28 @@
 import { PEER_PATH } from "../common/peer_messages.ts";
 import type { PeerMessage, PeerReply } from "../common/peer_messages.ts";
 
-/** One message on its way. */
+/** A message to send to one peer. */
 export interface PeerRequest {
   /** `host:port` of the other node's ingress. */
   readonly address: string;
   readonly message: PeerMessage;
-  /** Longest wait for the answer, in milliseconds. */
+  /** Time limit of the exchange, in milliseconds. */
   readonly timeoutMs: number;
-  /** Whether a connection of its own is opened for it. */
+  /**
+   * Whether to open a new connection for this message instead of using a pooled
+   * one.
+   */
   readonly isFresh: boolean;
 }
 
-/** Owns the connections to the peers. */
+/** Owns a pool of connections to the peers. */
 export class PeerClient implements AsyncDisposable {
   readonly #isTls: boolean;
   readonly #connect: Connector;
   readonly #agent: Agent;
   readonly #clock: ProcessClock;
 
-  /** With `tls`, peers must be of the authority and are shown a certificate. */
+  /** With `tls`, both sides authenticate by certificates of the authority. */
   constructor(options: {
     readonly tls: TlsKeys | undefined;
     readonly clock: ProcessClock;
@@ -45,7 +48,7 @@
     this.#agent = new Agent({ connections: 4, pipelining: 1, connect });
   }
 
-  /** Sends a message; undefined where no answer came in time. */
+  /** Sends a message; undefined without a valid answer in time. */
   async send(request: PeerRequest): Promise<PeerReply | undefined> {
     const agent = request.isFresh
       ? new Agent({ connect: this.#connect })
