--- a/src/engine/link/common/link_reducer.ts
+++ b/src/engine/link/common/link_reducer.ts
@@ -101,7 +101,7 @@
   unconfirmedMs: MIN_UNCONFIRMED_MS,
   maxUnconfirmedMs: MAX_UNCONFIRMED_MS,
 };
-/** Upper bound of the same, which doubles with each return. */
+/** Upper bound of the time on a farther replica; it doubles with each return. */
 const MAX_RETURN_MS = 960_000;
 /** Upper bound of the doublings of a backoff or a time limit. */
 const MAX_DOUBLINGS = 6;
