--- a/src/engine/link/common/link_messages.ts
+++ b/src/engine/link/common/link_messages.ts
@@ -74,7 +74,7 @@
   }
   /**
    * Proof for the node's request of this number: after the request was
-   * received, a quorum confirmed that no later version was committed.
+   * received, a quorum confirmed that no later version was accepted.
    */
   | {
     readonly type: "RoutesProved";
