--- a/src/engine/call/common/entry_reply.ts
+++ b/src/engine/call/common/entry_reply.ts
@@ -6,7 +6,7 @@
 } from "../../../base/common/reduction.ts";
 import type {
   AttemptPhase,
-  FoundAttempt,
+  AttemptStatusReply,
 } from "../../peer/common/peer_messages.ts";
 import type { NodeEvent } from "./call_events.ts";
 import {
@@ -97,7 +97,7 @@
     : createReduction(state);
 }
 
-function getStatus(found: FoundAttempt | undefined): AttemptStatus {
+function getStatus(found: AttemptStatusReply | undefined): AttemptStatus {
   switch (found?.type) {
     case "AttemptFenced":
       return "not-run";
--- a/src/engine/call/common/peer_reducer.ts
+++ b/src/engine/call/common/peer_reducer.ts
@@ -5,8 +5,8 @@
 } from "../../../base/common/reduction.ts";
 import type { Reduction } from "../../../base/common/reduction.ts";
 import type {
-  AskedAttempt,
-  FoundAttempt,
+  AttemptStatusQuery,
+  AttemptStatusReply,
   PeerMessage,
 } from "../../peer/common/peer_messages.ts";
 import {
@@ -58,7 +58,7 @@
   nowMs: number,
 ): Reduction<NodeState, NodeEffect> {
   const isSameProcess = message.incarnation === state.self.incarnation;
-  const found: FoundAttempt[] = [];
+  const found: AttemptStatusReply[] = [];
   let next = state;
   for (const attempt of message.attempts) {
     const known = findAttempt(next, attempt.attemptId);
@@ -81,7 +81,7 @@
 function findAttempt(
   state: NodeState,
   attemptId: string,
-): FoundAttempt | undefined {
+): AttemptStatusReply | undefined {
   const served = state.served.get(attemptId);
   if (served !== undefined) {
     return { type: "AttemptKnown", phase: served.phase };
@@ -96,7 +96,7 @@
 /** Fences an attempt; undefined where that would prove nothing. */
 function fenceAttempt(
   state: NodeState,
-  attempt: AskedAttempt,
+  attempt: AttemptStatusQuery,
   nowMs: number,
 ): NodeState | undefined {
   const settled = fenceSettled(state.settled, attempt, nowMs);
--- a/src/engine/call/test/entry_retry_test.ts
+++ b/src/engine/call/test/entry_retry_test.ts
@@ -1,6 +1,6 @@
 /** Retries, status requests and outcomes of calls on one node. */
 import { expect } from "chai";
-import type { FoundAttempt } from "../../peer/common/peer_messages.ts";
+import type { AttemptStatusReply } from "../../peer/common/peer_messages.ts";
 import { BUDGET_FLOOR, BUDGET_SHARE } from "../../retry/common/retry_budget.ts";
 import type { VersionedRow } from "../../table/common/table_row.ts";
 import { encodeContext } from "../common/call_context.ts";
@@ -72,7 +72,7 @@
   /** Replies to a status request; undefined if no reply was received. */
   replyToStatusRequest(
     attemptId: string,
-    found: FoundAttempt | undefined,
+    found: AttemptStatusReply | undefined,
   ): void {
     const requestId = `attempts:${attemptId}`;
     const reply = found === undefined
@@ -89,10 +89,10 @@
   }
 }
 
-const FENCED: FoundAttempt = { type: "AttemptFenced" };
-const FORGOTTEN: FoundAttempt = { type: "AttemptForgotten" };
-const RUNNING: FoundAttempt = { type: "AttemptKnown", phase: "running" };
-const ENDED: FoundAttempt = { type: "AttemptKnown", phase: "ended" };
+const FENCED: AttemptStatusReply = { type: "AttemptFenced" };
+const FORGOTTEN: AttemptStatusReply = { type: "AttemptForgotten" };
+const RUNNING: AttemptStatusReply = { type: "AttemptKnown", phase: "running" };
+const ENDED: AttemptStatusReply = { type: "AttemptKnown", phase: "ended" };
 
 describe("a non-idempotent attempt that failed after it was sent", () => {
   it("has its status requested on a new connection, and is retried once fenced", () => {
@@ -310,7 +310,7 @@
     node: TestNode,
     attemptId: string,
     incarnation = 1,
-  ): FoundAttempt {
+  ): AttemptStatusReply {
     const message = {
       type: "FenceAttempts",
       incarnation,
--- a/src/engine/call/test/load_hint_test.ts
+++ b/src/engine/call/test/load_hint_test.ts
@@ -117,7 +117,8 @@
     for (let n = 0; n < 50; n += 1) {
       expect(completeCall(caller, served)).to.equal("100");
     }
-    const { ejection, failures, refusals } = getView(caller);
+    const { ejection, failureShare: failures, refusalShare: refusals } =
+      getView(caller);
     expect(ejection).to.equal(undefined);
     expect([failures, refusals]).to.deep.equal([0, 0]);
   });
--- a/src/engine/link/test/node_inbox_test.ts
+++ b/src/engine/link/test/node_inbox_test.ts
@@ -1,9 +1,13 @@
-/** What a node makes of a replica's messages, and what it subscribes to. */
+/** Conversion of a replica's messages into events, and subscriptions. */
 import { expect } from "chai";
 import { createAnnouncement } from "../../membership/test/replicas.ts";
 import { EMPTY_TABLE } from "../../table/common/table_row.ts";
 import { readControlMessage } from "../common/node_inbox.ts";
-import { DISUSE_MS, findDisused, noteUse } from "../common/subscriptions.ts";
+import {
+  findUnused,
+  recordUse,
+  SUBSCRIPTION_IDLE_MS,
+} from "../common/subscriptions.ts";
 
 const VIEW = {
   table: { ...EMPTY_TABLE, version: 4 },
@@ -15,8 +19,8 @@
   return { type: "TableChange", delta, isConfirmed: true } as const;
 }
 
-describe("a node's reading of its control replica", () => {
-  it("applies a delta that fits", () => {
+describe("messages of a control replica", () => {
+  it("applies a delta to the node's version", () => {
     const { events, reply } = readControlMessage(createChange(4, 5), VIEW);
     expect(events).to.deep.equal([{
       type: "TableReceived",
@@ -26,18 +30,18 @@
     expect(reply).to.equal(undefined);
   });
 
-  it("fetches the table where a delta was lost", () => {
+  it("requests the table after a lost delta", () => {
     const { events, reply } = readControlMessage(createChange(5, 6), VIEW);
     expect(events).to.deep.equal([]);
     expect(reply).to.deep.equal({ type: "TableFetch", tableVersion: 4 });
   });
 
-  it("passes over a delta that comes twice", () => {
+  it("ignores a duplicate delta", () => {
     const result = readControlMessage(createChange(2, 4), VIEW);
     expect(result).to.deep.equal({ events: [], reply: undefined });
   });
 
-  it("forgets nobody whom a replica that just started leaves out", () => {
+  it("removes no members by the incomplete list of a restarted replica", () => {
     const list = {
       type: "MemberList",
       service: "provenance",
@@ -53,15 +57,17 @@
 });
 
 describe("subscriptions", () => {
-  it("end after a long time without a call", () => {
-    const first = noteUse(new Map(), "provenance", 0);
-    const both = noteUse(first, "custody", DISUSE_MS);
-    expect(findDisused(both, DISUSE_MS)).to.deep.equal([]);
-    expect(findDisused(both, DISUSE_MS + 1)).to.deep.equal(["provenance"]);
+  it("expire after the idle time", () => {
+    const first = recordUse(new Map(), "provenance", 0);
+    const both = recordUse(first, "custody", SUBSCRIPTION_IDLE_MS);
+    expect(findUnused(both, SUBSCRIPTION_IDLE_MS)).to.deep.equal([]);
+    expect(findUnused(both, SUBSCRIPTION_IDLE_MS + 1)).to.deep.equal([
+      "provenance",
+    ]);
   });
 
-  it("cost nothing for calls in quick succession", () => {
-    const first = noteUse(new Map(), "provenance", 0);
-    expect(noteUse(first, "provenance", 1_000)).to.equal(first);
+  it("stay the same map for calls within the record interval", () => {
+    const first = recordUse(new Map(), "provenance", 0);
+    expect(recordUse(first, "provenance", 1_000)).to.equal(first);
   });
 });
