--- a/src/daemon/relay_tree.ts
+++ b/src/daemon/relay_tree.ts
@@ -113,11 +113,11 @@
         members.computePathPressure(service, route, nowMs)
       );
       const worst = ways.reduce((a, b) => b.pressure > a.pressure ? b : a);
-      const { pressure, reportedAtMs: saidAtMs } = worst;
+      const { pressure, reportedAtMs } = worst;
       return [
         parent,
         Math.round(pressure * 1_000) / 1_000,
-        pressure === 0 ? 0 : Math.round(nowMs - saidAtMs),
+        pressure === 0 ? 0 : Math.round(nowMs - reportedAtMs),
       ] as const;
     });
   }
--- a/src/engine/call/common/crash_steps.ts
+++ b/src/engine/call/common/crash_steps.ts
@@ -91,9 +91,9 @@
   if (watch === undefined) {
     return startCrashWatch(state, [failure]);
   }
-  const held = [...watch.heldFailures, failure];
+  const heldFailures = [...watch.heldFailures, failure];
   return createReduction(
-    putQuarantine(state, { watch: { ...watch, heldFailures: held } }),
+    putQuarantine(state, { watch: { ...watch, heldFailures } }),
   );
 }
 
@@ -233,10 +233,10 @@
 /** Starts to investigate failures: probes the backend server. */
 function startCrashWatch(
   state: NodeState,
-  held: readonly HeldFailure[],
+  heldFailures: readonly HeldFailure[],
 ): NodeStep {
   const watch: CrashWatch = {
-    heldFailures: held,
+    heldFailures,
     pendingNotifications: new Set(),
     suspectedAttempts: undefined,
   };
@@ -341,9 +341,9 @@
   const isNew = ({ attemptId }: HeldFailure) =>
     suspectedAttempts?.has(attemptId) !== true && state.served.has(attemptId);
   const newer = watch.heldFailures.filter(isNew);
-  const held = watch.heldFailures.filter((failure) => !isNew(failure));
+  const heldFailures = watch.heldFailures.filter((failure) => !isNew(failure));
   const rest = putQuarantine(state, {
-    watch: { ...watch, heldFailures: held },
+    watch: { ...watch, heldFailures },
   });
   const settled = settleHeldFailures(rest, settle);
   return newer.length === 0
@@ -356,9 +356,9 @@
   state: NodeState,
   settle: SettleHeldFailure,
 ): NodeStep {
-  const held = state.quarantine.watch?.heldFailures ?? [];
+  const heldFailures = state.quarantine.watch?.heldFailures ?? [];
   const ended = putQuarantine(state, { watch: undefined });
-  return held.reduce<NodeStep>(
+  return heldFailures.reduce<NodeStep>(
     (step, failure) =>
       chainReduction(
         step,
--- a/src/engine/call/test/load_hint_test.ts
+++ b/src/engine/call/test/load_hint_test.ts
@@ -117,9 +117,8 @@
     for (let n = 0; n < 50; n += 1) {
       expect(completeCall(caller, served)).to.equal("100");
     }
-    const { ejection, failureShare: failures, refusalShare: refusals } =
-      getView(caller);
+    const { ejection, failureShare, refusalShare } = getView(caller);
     expect(ejection).to.equal(undefined);
-    expect([failures, refusals]).to.deep.equal([0, 0]);
+    expect([failureShare, refusalShare]).to.deep.equal([0, 0]);
   });
 });
--- a/src/engine/mesh/node/mesh_client.ts
+++ b/src/engine/mesh/node/mesh_client.ts
@@ -156,9 +156,9 @@
       link.lastReceivedAtMs = this.#options.readClock();
       link.wasOpen = true;
       writer.write(this.#createIntroduction());
-      const { queuedFrames: queued } = link;
+      const { queuedFrames } = link;
       link.queuedFrames = [];
-      queued.forEach((frame) => writer.write(frame));
+      queuedFrames.forEach((frame) => writer.write(frame));
     });
     socket.on("message", (data: Buffer) => {
       const nowMs = this.#options.readClock();
--- a/src/engine/retry/test/retry_tokens_test.ts
+++ b/src/engine/retry/test/retry_tokens_test.ts
@@ -140,12 +140,12 @@
 
   const { tokens, idempotent } = plan;
   const row = { ...ROW, retries: tokens, idempotent };
-  const loseRequest = () => {
+  const chooseRequestLoss = () => {
     const loss = random() < 0.5 ? "late" : "lost";
     return drawChance(plan.lossPercent / 2) ? loss : undefined;
   };
   const network = new NodeNetwork(row, 4, {
-    chooseRequestLoss: loseRequest,
+    chooseRequestLoss,
     runBackend,
     isAnswerLost: () => drawChance(plan.lossPercent),
     isReplyLost: () => drawChance(plan.lossPercent),
