--- a/src/daemon/node_report.ts
+++ b/src/daemon/node_report.ts
@@ -86,7 +86,7 @@
     running: state.admission.running.size,
     queued: state.admission.queue.length,
     loadHint: state.loadHint ?? null,
-    holderEpoch: state.claims.holder.voiceEpoch,
+    holderEpoch: state.claims.holder.votingEpoch,
     keys: state.claims.holder.records.count,
   };
 }
--- a/src/engine/call/common/claim_steps.ts
+++ b/src/engine/call/common/claim_steps.ts
@@ -3,14 +3,17 @@
 import type { Reduction } from "../../../base/common/reduction.ts";
 import {
   checkClaim,
-  hasWon,
+  hasWonClaim,
   withdrawClaim,
 } from "../../claims/common/claim_reducer.ts";
 import { MAX_KEY_LENGTH } from "../../claims/common/claim_types.ts";
 import type { RequestKey } from "../../claims/common/claim_types.ts";
-import { applyOwn, claimAttempt } from "../../claims/common/node_claims.ts";
+import {
+  applyClaimStep,
+  claimAttempt,
+} from "../../claims/common/node_claims.ts";
 import type { NodeClaims } from "../../claims/common/node_claims.ts";
-import { forgetRun } from "../../claims/common/outcome_steps.ts";
+import { discardClaim } from "../../claims/common/outcome_steps.ts";
 import type { TableRow } from "../../table/common/table_row.ts";
 import type { OwnAnswer } from "./answers.ts";
 import type { NodeEffect } from "./call_events.ts";
@@ -71,12 +74,12 @@
 
 /** Whether the holders are still being asked for an attempt. */
 export function isClaiming(state: NodeState, attemptId: string): boolean {
-  return checkClaim(state.claims.own, attemptId) === "claiming";
+  return checkClaim(state.claims.claimant, attemptId) === "claiming";
 }
 
 /** Whether an attempt runs, or has run, with its key's holders behind it. */
 export function isClaimWon(state: NodeState, attemptId: string): boolean {
-  return hasWon(state.claims.own, attemptId);
+  return hasWonClaim(state.claims.claimant, attemptId);
 }
 
 /** The backend server saw nothing of an attempt: its claim is given back. */
@@ -84,22 +87,22 @@
   const { claims } = state;
   return applyClaims(
     state,
-    applyOwn(claims, withdrawClaim(claims.own, attemptId)),
+    applyClaimStep(claims, withdrawClaim(claims.claimant, attemptId)),
   );
 }
 
 /** An attempt is over: a claim that was never won is given back. */
 export function endClaim(state: NodeState, attemptId: string): Step {
   const { claims } = state;
-  const coordination = claims.own.coordinations.get(attemptId);
+  const coordination = claims.claimant.coordinations.get(attemptId);
   if (coordination === undefined || coordination.phase === "recording") {
     return createReduction(state);
   }
   if (coordination.phase !== "running") {
     return withdrawServed(state, attemptId);
   }
-  const own = forgetRun(claims.own, attemptId);
-  return createReduction({ ...state, claims: { ...claims, own } });
+  const claimant = discardClaim(claims.claimant, attemptId);
+  return createReduction({ ...state, claims: { ...claims, claimant } });
 }
 
 /** Binds a step that only asks others to the node. */
--- a/src/engine/call/common/node_reducer.ts
+++ b/src/engine/call/common/node_reducer.ts
@@ -4,7 +4,7 @@
   appendEffects,
   chainReduction,
 } from "../../../base/common/reduction.ts";
-import { CLAIM_PREFIX } from "../../claims/common/claim_messages.ts";
+import { CLAIM_REQUEST_PREFIX } from "../../claims/common/claim_messages.ts";
 import type { ClaimReply } from "../../claims/common/claim_messages.ts";
 import { computeLoadHint } from "../../routing/common/load_hint.ts";
 import { QUARANTINE_PREFIX } from "../../quarantine/common/quarantine_messages.ts";
@@ -157,7 +157,7 @@
     const told = reply as QuarantineReply | undefined;
     return takeQuarantineReply(state, { requestId, reply: told }, settle, deps);
   }
-  return requestId.startsWith(CLAIM_PREFIX)
+  return requestId.startsWith(CLAIM_REQUEST_PREFIX)
     ? takeHolderReply(state, requestId, reply as ClaimReply | undefined, deps)
     : settleAsked(state, event, deps.nowMs);
 }
--- a/src/engine/call/common/served_claims.ts
+++ b/src/engine/call/common/served_claims.ts
@@ -8,22 +8,22 @@
 } from "../../../base/common/reduction.ts";
 import type { ClaimReply } from "../../claims/common/claim_messages.ts";
 import { resumeClaim } from "../../claims/common/claim_reducer.ts";
-import type { Verdict } from "../../claims/common/claim_state.ts";
+import type { ClaimVerdict } from "../../claims/common/claim_state.ts";
 import type {
   HolderSets,
   StoredAnswer,
 } from "../../claims/common/claim_types.ts";
 import {
-  applyOwn,
-  takeReply,
-  takeSets,
+  applyClaimStep,
+  receiveReply,
+  receiveSets,
   tickClaims,
 } from "../../claims/common/node_claims.ts";
 import type {
   NodeClaimEffect,
   NodeClaimStep,
 } from "../../claims/common/node_claims.ts";
-import { recordRun } from "../../claims/common/outcome_steps.ts";
+import { recordRunOutcome } from "../../claims/common/outcome_steps.ts";
 import type { OwnAnswer } from "./answers.ts";
 import type { AttemptAnswer, NodeEffect } from "./call_events.ts";
 import type { NodeState } from "./node_state.ts";
@@ -40,7 +40,7 @@
   reply: ClaimReply | undefined,
   deps: ServedDeps,
 ): NodeStep {
-  return applySteps(state, takeReply(state.claims, requestId, reply), deps);
+  return applySteps(state, receiveReply(state.claims, requestId, reply), deps);
 }
 
 /** Takes the holder sets that control told. */
@@ -52,7 +52,7 @@
   if (sets.active.service !== state.self.service) {
     return createReduction(state);
   }
-  return applySteps(state, takeSets(state.claims, sets, state.self), deps);
+  return applySteps(state, receiveSets(state.claims, sets, state.self), deps);
 }
 
 /** Time has passed. */
@@ -71,7 +71,7 @@
   deps: ServedDeps,
 ): NodeStep {
   const { claims } = state;
-  const step = applyOwn(claims, resumeClaim(claims.own, attemptId));
+  const step = applyClaimStep(claims, resumeClaim(claims.claimant, attemptId));
   return applySteps(state, step, deps);
 }
 
@@ -93,7 +93,10 @@
   const held = { ...call, collectedStatus: status };
   const next = { ...state, served: setEntry(state.served, attemptId, held) };
   const { claims } = next;
-  const step = applyOwn(claims, recordRun(claims.own, attemptId, answer));
+  const step = applyClaimStep(
+    claims,
+    recordRunOutcome(claims.claimant, attemptId, answer),
+  );
   return applySteps(next, step, deps);
 }
 
@@ -158,7 +161,7 @@
 function settleClaim(
   state: NodeState,
   attemptId: string,
-  verdict: Verdict,
+  verdict: ClaimVerdict,
   deps: ServedDeps,
 ): NodeStep {
   if (verdict.type === "Answered") {
@@ -180,7 +183,7 @@
 }
 
 function createRefusal(
-  verdict: Exclude<Verdict, { type: "Answered" }>,
+  verdict: Exclude<ClaimVerdict, { type: "Answered" }>,
 ): OwnAnswer {
   switch (verdict.type) {
     case "AnswerNotKept":
--- a/src/engine/claims/common/claim_messages.ts
+++ b/src/engine/claims/common/claim_messages.ts
@@ -1,10 +1,10 @@
 /** Messages between the node that claims a key and the key's holders. */
 import type { Claim, ClaimRecord, RunOutcome } from "./claim_types.ts";
 
-/** How far an attempt is at the node that made its claim. */
+/** Progress of an attempt, as reported by the node that made its claim. */
 export type ClaimPhase = "claiming" | "running" | "withdrawn" | "unknown";
 
-/** What is asked. */
+/** Requests to a holder, or to the node that made a claim. */
 export type ClaimMessage =
   | {
     readonly type: "ClaimKey";
@@ -13,7 +13,7 @@
     readonly key: string;
     readonly claim: Claim;
   }
-  /** The attempt never ran and never will. */
+  /** Releases the claim of an attempt that never ran and never will. */
   | {
     readonly type: "ReleaseClaim";
     readonly key: string;
@@ -26,22 +26,22 @@
     readonly key: string;
     readonly outcome: RunOutcome;
   }
-  /** Asks the node that made a claim what became of the attempt. */
+  /** Asks the node that made a claim for the progress of the attempt. */
   | { readonly type: "CheckClaim"; readonly attemptId: string }
-  /** Ends an epoch at one holder and reads a page of its records. */
+  /** Makes a holder stop voting in an epoch, and reads a page of its records. */
   | {
     readonly type: "SealEpoch";
     readonly epoch: number;
     readonly incarnation: number;
-    /** Where the page begins; 0 at first. */
+    /** First bucket of the page; 0 for the first page. */
     readonly cursor: number;
   };
 
-/** The answers. */
+/** Replies to `ClaimMessage`. */
 export type ClaimReply =
   | { readonly type: "ClaimGranted" }
   | { readonly type: "ClaimHeld"; readonly record: ClaimRecord }
-  /** The holder has no voice in that epoch, or no room. */
+  /** The holder may not vote in that epoch, or has no free capacity. */
   | {
     readonly type: "ClaimRefused";
     readonly reason: "epoch" | "full";
@@ -52,12 +52,12 @@
   | {
     readonly type: "EpochSealed";
     readonly records: readonly ClaimRecord[];
-    /** Where the next page begins; undefined after the last one. */
+    /** First bucket of the next page; undefined after the last one. */
     readonly cursor: number | undefined;
   };
 
-/** Asks another node; the shape of the node's own effect. */
-export interface AskHolder {
+/** Effect: send a request to another node. It has the fields of `AskPeer`. */
+export interface HolderRequest {
   readonly type: "AskPeer";
   readonly requestId: string;
   readonly address: string;
@@ -66,8 +66,8 @@
   readonly isFresh: boolean;
 }
 
-/** Longest wait for a holder's reply, in milliseconds. */
+/** Timeout for a holder's reply. */
 export const HOLDER_TIMEOUT_MS = 1_000;
 
-/** Request ids of this area begin with this. */
-export const CLAIM_PREFIX = "claim/";
+/** Prefix of the request ids of all claim messages. */
+export const CLAIM_REQUEST_PREFIX = "claim/";
--- a/src/engine/claims/common/claim_reducer.ts
+++ b/src/engine/claims/common/claim_reducer.ts
@@ -1,4 +1,7 @@
-/** The claimant's part: obtains a majority of holders before a request runs. */
+/**
+ * The claimant's side of the claim protocol: obtains the votes of a majority of
+ * holders before a request runs.
+ */
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 import {
   appendEffects,
@@ -6,34 +9,34 @@
 } from "../../../base/common/reduction.ts";
 import type { Reduction } from "../../../base/common/reduction.ts";
 import type { ClaimPhase, ClaimReply } from "./claim_messages.ts";
-import { CLAIM_PREFIX } from "./claim_messages.ts";
-import { createAsk, rememberWithdrawn } from "./claim_state.ts";
+import { CLAIM_REQUEST_PREFIX } from "./claim_messages.ts";
+import { createHolderRequest, recordWithdrawn } from "./claim_state.ts";
 import type {
   ClaimEffect,
   ClaimRequest,
   ClaimState,
+  ClaimVerdict,
   Coordination,
-  Verdict,
   Vote,
 } from "./claim_state.ts";
 import { countMajority } from "./claim_types.ts";
 import type { Claim } from "./claim_types.ts";
-import { takeRecordReply } from "./outcome_steps.ts";
+import { receiveRecordReply } from "./outcome_steps.ts";
 
-/** A step of the claims. */
+/** The state after an event, with the effects to perform. */
 export type ClaimStep = Reduction<ClaimState, ClaimEffect>;
 
 const MAX_ROUNDS = 5;
-const BACKOFF_MS = 10;
+const ROUND_BACKOFF_MS = 10;
 
-/** Asks the holders for the key of an attempt. */
+/** Starts the first voting round for the key of an attempt. */
 export function startClaim(
   state: ClaimState,
   request: ClaimRequest,
 ): ClaimStep {
   const { attemptId, set, ingress } = request;
   const { key, fingerprint } = request.request;
-  return askVotes(state, {
+  return requestVotes(state, {
     claim: { attemptId, fingerprint, ingress },
     key,
     set,
@@ -46,14 +49,19 @@
   });
 }
 
-/** Takes the reply to one question; undefined where none came. */
-export function takeClaimReply(
+/** Processes the reply to a request; undefined if none was received. */
+export function receiveClaimReply(
   state: ClaimState,
   requestId: string,
   reply: ClaimReply | undefined,
 ): ClaimStep {
-  const [kind, attemptId, round, from] = requestId
-    .slice(CLAIM_PREFIX.length).split("/") as [string, string, string, string];
+  const [kind, attemptId, round, nodeId] = requestId
+    .slice(CLAIM_REQUEST_PREFIX.length).split("/") as [
+      string,
+      string,
+      string,
+      string,
+    ];
   const coordination = state.coordinations.get(attemptId);
   if (coordination === undefined) {
     return createReduction(state);
@@ -61,28 +69,34 @@
   const { phase } = coordination;
   const isCurrent = coordination.round === Number(round);
   if (kind === "vote" && phase === "voting" && isCurrent) {
-    const votes = setEntry(coordination.votes, from, readVote(reply));
+    const votes = setEntry(coordination.votes, nodeId, getVote(reply));
     return decideVotes(state, { ...coordination, votes });
   }
   if (kind === "check" && phase === "checking" && isCurrent) {
-    const seen = reply?.type === "ClaimChecked" ? reply.phase : "unknown";
-    const checks = setEntry(coordination.checks, from, seen);
+    const reportedPhase = reply?.type === "ClaimChecked"
+      ? reply.phase
+      : "unknown";
+    const checks = setEntry(coordination.checks, nodeId, reportedPhase);
     return decideChecks(state, { ...coordination, checks });
   }
   return kind === "outcome"
-    ? takeRecordReply(state, coordination, { epoch: round, from, reply })
+    ? receiveRecordReply(state, coordination, {
+      epoch: round,
+      from: nodeId,
+      reply,
+    })
     : createReduction(state);
 }
 
-/** The pause between two rounds is over. */
+/** Starts the next voting round after the delay between two rounds. */
 export function resumeClaim(state: ClaimState, attemptId: string): ClaimStep {
   const coordination = state.coordinations.get(attemptId);
   return coordination?.phase === "waiting"
-    ? askVotes(state, coordination)
+    ? requestVotes(state, coordination)
     : createReduction(state);
 }
 
-/** The attempt provably never ran: its claim is given back. */
+/** Releases the claim of an attempt that provably never ran. */
 export function withdrawClaim(
   state: ClaimState,
   attemptId: string,
@@ -93,12 +107,12 @@
   }
   const next: ClaimState = {
     coordinations: deleteEntry(state.coordinations, attemptId),
-    withdrawn: rememberWithdrawn(state.withdrawn, attemptId),
+    withdrawn: recordWithdrawn(state.withdrawn, attemptId),
   };
   return createReduction(next, createReleases(coordination, attemptId));
 }
 
-/** Says how far the attempt of a claim is; "unknown" after a restart. */
+/** Returns the progress of an attempt; "unknown" after a restart. */
 export function checkClaim(state: ClaimState, attemptId: string): ClaimPhase {
   const phase = state.coordinations.get(attemptId)?.phase;
   if (phase !== undefined) {
@@ -108,69 +122,77 @@
   return state.withdrawn.has(attemptId) ? "withdrawn" : "unknown";
 }
 
-/** Whether the attempt has been, or may have been, given to run. */
-export function hasWon(state: ClaimState, attemptId: string): boolean {
+/** Whether the attempt won its claim, so that its request may have run. */
+export function hasWonClaim(state: ClaimState, attemptId: string): boolean {
   return checkClaim(state, attemptId) === "running";
 }
 
-function askVotes(state: ClaimState, coordination: Coordination): ClaimStep {
+function requestVotes(
+  state: ClaimState,
+  coordination: Coordination,
+): ClaimStep {
   const { claim, key, set } = coordination;
   const round = coordination.round + 1;
   const granted = [...coordination.votes].filter(([, vote]) =>
     vote.type === "Granted"
   );
   const votes = new Map(granted);
-  const asks = set.members
+  const requests = set.members
     .filter((member) => !votes.has(member.nodeId))
     .map(({ nodeId, incarnation, ingress }) =>
-      createAsk(`vote/${claim.attemptId}/${round}/${nodeId}`, ingress, {
-        type: "ClaimKey",
-        epoch: set.epoch,
-        incarnation,
-        key,
-        claim,
-      })
+      createHolderRequest(
+        `vote/${claim.attemptId}/${round}/${nodeId}`,
+        ingress,
+        {
+          type: "ClaimKey",
+          epoch: set.epoch,
+          incarnation,
+          key,
+          claim,
+        },
+      )
     );
   const next: Coordination = { ...coordination, phase: "voting", round, votes };
-  return createReduction(putCoordination(state, next), asks);
+  return createReduction(putCoordination(state, next), requests);
 }
 
 function decideVotes(state: ClaimState, coordination: Coordination): ClaimStep {
   const { set, votes, claim } = coordination;
   const next = putCoordination(state, coordination);
-  const cast = [...votes.values()];
-  const pending = set.members.length - cast.length;
-  const verdict = findOutcome(coordination, pending);
+  const receivedVotes = [...votes.values()];
+  const pendingCount = set.members.length - receivedVotes.length;
+  const verdict = findFinalVerdict(coordination, pendingCount);
   if (verdict !== undefined) {
     return failClaim(next, coordination, verdict);
   }
-  const granted = cast.filter((vote) => vote.type === "Granted").length;
+  const grantedCount =
+    receivedVotes.filter((vote) => vote.type === "Granted").length;
   const majority = countMajority(set.members);
-  if (granted >= majority) {
+  if (grantedCount >= majority) {
     const running: Coordination = { ...coordination, phase: "running" };
     const { attemptId } = claim;
     return createReduction(putCoordination(state, running), [
       { type: "RunClaimed", attemptId },
     ]);
   }
-  if (granted + pending >= majority) {
+  if (grantedCount + pendingCount >= majority) {
     return createReduction(next);
   }
-  const others = listOthers(coordination);
-  if (others.length === 0) {
-    const reason = findReason(cast);
+  const competing = listCompetingClaims(coordination);
+  if (competing.length === 0) {
+    const reason = getRefusalReason(receivedVotes);
     return failClaim(next, coordination, { type: "Undecided", reason });
   }
   return coordination.isLastRound
     ? failClaim(next, coordination, { type: "OutcomeUnknown" })
-    : askOthers(state, coordination, others);
+    : checkCompetingClaims(state, coordination, competing);
 }
 
-/** An outcome that any holder knows is final. */
-function findOutcome(
+/** Finds the verdict if any holder has recorded an outcome: it is final. */
+function findFinalVerdict(
   coordination: Coordination,
-  pending: number,
-): Verdict | undefined {
+  pendingCount: number,
+): ClaimVerdict | undefined {
   const outcomes = [...coordination.votes.values()].flatMap((vote) =>
     vote.type === "Held" && vote.record.outcome !== undefined
       ? [vote.record.outcome]
@@ -185,65 +207,72 @@
   if (answer !== undefined) {
     return { type: "Answered", answer };
   }
-  return outcomes.length > 0 && pending === 0
+  return outcomes.length > 0 && pendingCount === 0
     ? { type: "AnswerNotKept" }
     : undefined;
 }
 
-function askOthers(
+function checkCompetingClaims(
   state: ClaimState,
   coordination: Coordination,
-  others: readonly Claim[],
+  competing: readonly Claim[],
 ): ClaimStep {
   const { claim, round } = coordination;
-  const asks = others.map(({ attemptId, ingress }) =>
-    createAsk(`check/${claim.attemptId}/${round}/${attemptId}`, ingress, {
-      type: "CheckClaim",
-      attemptId,
-    })
+  const requests = competing.map(({ attemptId, ingress }) =>
+    createHolderRequest(
+      `check/${claim.attemptId}/${round}/${attemptId}`,
+      ingress,
+      {
+        type: "CheckClaim",
+        attemptId,
+      },
+    )
   );
   const next: Coordination = {
     ...coordination,
     phase: "checking",
     checks: new Map(),
   };
-  return createReduction(putCoordination(state, next), asks);
+  return createReduction(putCoordination(state, next), requests);
 }
 
-/** Of several that still claim, the one with the lowest attempt id goes on. */
+/** Of several attempts still claiming, the one with the lowest id continues. */
 function decideChecks(
   state: ClaimState,
   coordination: Coordination,
 ): ClaimStep {
   const { checks, claim, round } = coordination;
-  const others = listOthers(coordination);
+  const others = listCompetingClaims(coordination);
   const next = putCoordination(state, coordination);
   if (checks.size < others.length) {
     return createReduction(next);
   }
   const phases = [...checks.values()];
-  const isOther = others.some((other) =>
+  const isKeyTaken = others.some((other) =>
     other.fingerprint !== claim.fingerprint &&
     checks.get(other.attemptId) === "running"
   );
-  if (isOther) {
+  if (isKeyTaken) {
     return failClaim(next, coordination, { type: "OtherRequest" });
   }
-  const isLower = others.every((other) =>
+  const hasLowestId = others.every((other) =>
     checks.get(other.attemptId) !== "claiming" ||
     claim.attemptId < other.attemptId
   );
-  if (phases.includes("running") || !isLower || round >= MAX_ROUNDS) {
+  if (phases.includes("running") || !hasLowestId || round >= MAX_ROUNDS) {
     return failClaim(next, coordination, { type: "StillRunning" });
   }
   if (phases.includes("unknown")) {
-    return askVotes(state, { ...coordination, isLastRound: true });
+    return requestVotes(state, { ...coordination, isLastRound: true });
   }
-  return pauseClaim(state, coordination);
+  return scheduleNextRound(state, coordination);
 }
 
-/** Releases what others have withdrawn, and asks again a little later. */
-function pauseClaim(state: ClaimState, coordination: Coordination): ClaimStep {
+/** Releases the claims of withdrawn attempts, and schedules the next round. */
+function scheduleNextRound(
+  state: ClaimState,
+  coordination: Coordination,
+): ClaimStep {
   const { checks, claim, round } = coordination;
   const releases = [...checks]
     .filter(([, phase]) => phase === "withdrawn")
@@ -254,7 +283,7 @@
     putCoordination(state, waiting),
     [
       ...releases,
-      { type: "StartClaimTimer", attemptId, delayMs: BACKOFF_MS * round },
+      { type: "StartClaimTimer", attemptId, delayMs: ROUND_BACKOFF_MS * round },
     ],
   );
 }
@@ -262,7 +291,7 @@
 function failClaim(
   state: ClaimState,
   coordination: Coordination,
-  verdict: Verdict,
+  verdict: ClaimVerdict,
 ): ClaimStep {
   const { attemptId } = coordination.claim;
   const step = withdrawClaim(state, attemptId);
@@ -275,7 +304,7 @@
 ): readonly ClaimEffect[] {
   const { set, key } = coordination;
   return set.members.map(({ nodeId, ingress }) =>
-    createAsk(`release/${attemptId}/0/${nodeId}`, ingress, {
+    createHolderRequest(`release/${attemptId}/0/${nodeId}`, ingress, {
       type: "ReleaseClaim",
       key,
       attemptId,
@@ -283,25 +312,25 @@
   );
 }
 
-function listOthers(coordination: Coordination): readonly Claim[] {
-  const others = new Map<string, Claim>();
+function listCompetingClaims(coordination: Coordination): readonly Claim[] {
+  const competing = new Map<string, Claim>();
   for (const vote of coordination.votes.values()) {
     for (const claim of vote.type === "Held" ? vote.record.claims : []) {
-      others.set(claim.attemptId, claim);
+      competing.set(claim.attemptId, claim);
     }
   }
-  others.delete(coordination.claim.attemptId);
-  return [...others.values()];
+  competing.delete(coordination.claim.attemptId);
+  return [...competing.values()];
 }
 
-function findReason(votes: readonly Vote[]): "epoch" | "full" | "lost" {
+function getRefusalReason(votes: readonly Vote[]): "epoch" | "full" | "lost" {
   const reasons = votes.flatMap((vote) =>
     vote.type === "Refused" ? [vote.reason] : []
   );
   return reasons.find((reason) => reason !== "lost") ?? "lost";
 }
 
-function readVote(reply: ClaimReply | undefined): Vote {
+function getVote(reply: ClaimReply | undefined): Vote {
   switch (reply?.type) {
     case "ClaimGranted":
       return { type: "Granted" };
--- a/src/engine/claims/common/claim_state.ts
+++ b/src/engine/claims/common/claim_state.ts
@@ -1,6 +1,10 @@
-/** The state of the claims that one node makes, and what comes of them. */
-import type { AskHolder, ClaimMessage, ClaimPhase } from "./claim_messages.ts";
-import { CLAIM_PREFIX, HOLDER_TIMEOUT_MS } from "./claim_messages.ts";
+/** State and effects of the claims that one node makes. */
+import type {
+  ClaimMessage,
+  ClaimPhase,
+  HolderRequest,
+} from "./claim_messages.ts";
+import { CLAIM_REQUEST_PREFIX, HOLDER_TIMEOUT_MS } from "./claim_messages.ts";
 import type {
   Claim,
   ClaimRecord,
@@ -16,33 +20,33 @@
   | { readonly type: "Held"; readonly record: ClaimRecord }
   | { readonly type: "Refused"; readonly reason: "epoch" | "full" | "lost" };
 
-/** One attempt's claim on its way. */
+/** The claim of one attempt until it is settled. */
 export interface Coordination {
   readonly claim: Claim;
   readonly key: string;
-  /** The set in which it is made; it never changes during the claim. */
+  /** The holders that vote on the claim; they never change during voting. */
   readonly set: HolderSet;
   readonly phase: "voting" | "checking" | "waiting" | "running" | "recording";
   readonly round: number;
   /** By node id. */
   readonly votes: ReadonlyMap<string, Vote>;
-  /** What became of the other claimants, by attempt id. */
+  /** Progress of the competing attempts, by attempt id. */
   readonly checks: ReadonlyMap<string, ClaimPhase>;
-  /** Whether the next vote is the last one. */
+  /** Whether the current voting round is the last one. */
   readonly isLastRound: boolean;
   readonly recording: Recording | undefined;
 }
 
-/** An outcome on its way to the holders. */
+/** The recording of an outcome at the holders. */
 export interface Recording {
   readonly outcome: RunOutcome;
-  /** Holders that counted it, by node id. */
-  readonly kept: ReadonlySet<string>;
-  /** Holders that replied at all, by node id. */
-  readonly replied: ReadonlySet<string>;
-  /** Whether the answer has been passed on. */
-  readonly isRelayed: boolean;
-  readonly tries: number;
+  /** Node ids of the holders that acknowledged the outcome. */
+  readonly acknowledgedBy: ReadonlySet<string>;
+  /** Node ids of the holders that replied, whether or not they acknowledged. */
+  readonly repliedBy: ReadonlySet<string>;
+  /** Whether the answer has been relayed to the caller. */
+  readonly isAnswerRelayed: boolean;
+  readonly sendCount: number;
 }
 
 /** The claims that a node makes. */
@@ -53,28 +57,28 @@
   readonly withdrawn: ReadonlySet<string>;
 }
 
-/** Why a claim was not won. */
-export type Verdict =
+/** Result of a claim that was not won. */
+export type ClaimVerdict =
   | { readonly type: "Answered"; readonly answer: StoredAnswer }
-  /** It ran, but its answer was too large to keep. */
+  /** The request has run, but its answer was too large to store. */
   | { readonly type: "AnswerNotKept" }
-  /** The key belongs to another request. */
+  /** The key is in use by a request with another fingerprint. */
   | { readonly type: "OtherRequest" }
   | { readonly type: "StillRunning" }
   | { readonly type: "OutcomeUnknown" }
-  /** No majority could be reached, or none had room. */
+  /** No majority was reachable, or holders had no free capacity. */
   | { readonly type: "Undecided"; readonly reason: "epoch" | "full" | "lost" };
 
-/** What the node does about its claims. */
+/** Effects of the claims that a node makes. */
 export type ClaimEffect =
-  | AskHolder
+  | HolderRequest
   | { readonly type: "RunClaimed"; readonly attemptId: string }
   | {
     readonly type: "SettleClaim";
     readonly attemptId: string;
-    readonly verdict: Verdict;
+    readonly verdict: ClaimVerdict;
   }
-  /** The outcome is kept as well as it can be: the answer may go out. */
+  /** The answer may be relayed: a majority recorded the outcome, or none can. */
   | { readonly type: "RelayClaimed"; readonly attemptId: string }
   | {
     readonly type: "StartClaimTimer";
@@ -82,7 +86,7 @@
     readonly delayMs: number;
   };
 
-/** What a claim is started from. */
+/** Inputs of a new claim. */
 export interface ClaimRequest {
   readonly attemptId: string;
   readonly request: RequestKey;
@@ -91,16 +95,15 @@
   readonly ingress: string;
 }
 
-/** No claims. */
-export const INITIAL_CLAIMS: ClaimState = {
+export const INITIAL_CLAIM_STATE: ClaimState = {
   coordinations: new Map(),
   withdrawn: new Set(),
 };
 
 const MAX_WITHDRAWN = 1_024;
 
-/** Remembers that an attempt never ran; the oldest one is forgotten first. */
-export function rememberWithdrawn(
+/** Records that an attempt never ran; evicts the oldest over the limit. */
+export function recordWithdrawn(
   withdrawn: ReadonlySet<string>,
   attemptId: string,
 ): ReadonlySet<string> {
@@ -114,15 +117,15 @@
   return next;
 }
 
-/** Creates a question; `path` tells the reply apart. */
-export function createAsk(
+/** Creates a request to a holder; `path` identifies the reply. */
+export function createHolderRequest(
   path: string,
   address: string,
   message: ClaimMessage,
-): AskHolder {
+): HolderRequest {
   return {
     type: "AskPeer",
-    requestId: `${CLAIM_PREFIX}${path}`,
+    requestId: `${CLAIM_REQUEST_PREFIX}${path}`,
     address,
     message,
     timeoutMs: HOLDER_TIMEOUT_MS,
--- a/src/engine/claims/common/claim_types.ts
+++ b/src/engine/claims/common/claim_types.ts
@@ -1,52 +1,52 @@
-/** What at most once is built of: claims, records and sets of holders. */
+/** Data types of at-most-once execution: claims, records and holder sets. */
 
-/** The idempotency key of a request, and what tells requests apart. */
+/** The idempotency key of a request, with the request's fingerprint. */
 export interface RequestKey {
   readonly key: string;
   /** Digest of method, target and body. */
   readonly fingerprint: string;
 }
 
-/** One attempt's wish to run the request of a key. */
+/** The claim of one attempt to run the request of a key. */
 export interface Claim {
   readonly attemptId: string;
   readonly fingerprint: string;
-  /** `host:port` of the ingress of the node that made it. */
+  /** `host:port` of the ingress of the claiming node. */
   readonly ingress: string;
 }
 
-/** A backend server's whole answer, as it is kept. */
+/** A backend server's complete answer, as holders store it. */
 export interface StoredAnswer {
   readonly status: number;
-  /** Names and values in turn. */
+  /** Names and values, alternating. */
   readonly headers: readonly string[];
-  /** Text, so that it can stand in a recorded trace. */
+  /** Base64, because traces are recorded as text. */
   readonly bodyBase64: string;
 }
 
-/** What came of the attempt that ran. */
+/** The outcome of the attempt that ran. */
 export interface RunOutcome {
   readonly attemptId: string;
   readonly fingerprint: string;
-  /** Undefined where the answer was too large to keep. */
+  /** Undefined if the answer was too large to store. */
   readonly answer: StoredAnswer | undefined;
 }
 
-/** What a holder knows of one key. */
+/** A holder's record of one key. */
 export interface ClaimRecord {
   readonly key: string;
-  /** More than one only after a change of holders copied split votes. */
+  /** More than one only if a change of holder set merged split votes. */
   readonly claims: readonly Claim[];
   /** Set once an attempt has run and its answer is known. */
   readonly outcome: RunOutcome | undefined;
-  /** Wall clock in milliseconds. */
+  /** Wall clock, in milliseconds since the epoch of Unix time. */
   readonly expiresAtMs: number;
 }
 
-/** One start of a node that keeps records. */
+/** A process instance of a node that stores claim records and votes on claims. */
 export interface Holder {
   readonly nodeId: string;
-  /** A restarted node is another holder, and empty. */
+  /** Differs after a restart: the restarted node is a new, empty holder. */
   readonly incarnation: number;
   readonly dataCentre: string;
   /** `host:port` of its ingress. */
@@ -65,22 +65,22 @@
     | undefined;
 }
 
-/** What control tells the nodes of a service. */
+/** The holder sets that control sends to the nodes of a service. */
 export interface HolderSets {
   /** The only set in which claims are made. */
   readonly active: HolderSet;
-  /** Its members copy, and report; nothing is claimed in it yet. */
+  /** The next set: its members copy records and report; it grants no claims. */
   readonly proposed: HolderSet | undefined;
 }
 
-/** How long a key is remembered, in milliseconds. */
+/** Time that a key's record is retained. */
 export const KEY_LIFETIME_MS = 24 * 3_600_000;
-/** Largest answer body that is kept whole, in bytes. */
+/** Largest answer body that is stored. */
 export const MAX_STORED_BYTES = 64 * 1024;
 /** Longest idempotency key, in characters. */
 export const MAX_KEY_LENGTH = 255;
 
-/** Counts the members that any two majorities share one of. */
+/** Returns the size of a majority: any two majorities share a member. */
 export function countMajority(members: readonly unknown[]): number {
   return Math.floor(members.length / 2) + 1;
 }
--- a/src/engine/claims/common/holder_reducer.ts
+++ b/src/engine/claims/common/holder_reducer.ts
@@ -1,6 +1,13 @@
-/** A holder's part: votes on claims, keeps outcomes, copies older epochs. */
-import type { AskHolder, ClaimMessage, ClaimReply } from "./claim_messages.ts";
-import { CLAIM_PREFIX, HOLDER_TIMEOUT_MS } from "./claim_messages.ts";
+/**
+ * The holder's side of the claim protocol: votes on claims, stores outcomes, and
+ * copies the records of the previous epoch.
+ */
+import type {
+  ClaimMessage,
+  ClaimReply,
+  HolderRequest,
+} from "./claim_messages.ts";
+import { CLAIM_REQUEST_PREFIX, HOLDER_TIMEOUT_MS } from "./claim_messages.ts";
 import { countMajority, KEY_LIFETIME_MS } from "./claim_types.ts";
 import type {
   Claim,
@@ -10,7 +17,7 @@
   HolderSets,
 } from "./claim_types.ts";
 import {
-  BUCKETS,
+  BUCKET_COUNT,
   EMPTY_RECORDS,
   findRecord,
   measureRecord,
@@ -19,51 +26,52 @@
 } from "./record_map.ts";
 import type { RecordMap } from "./record_map.ts";
 
-/** Records that are being copied from the holders of an older epoch. */
-export interface Copying {
-  /** The epoch that the copy gives a voice in. */
+/** Progress of copying the records of the previous epoch's holders. */
+export interface CopyProgress {
+  /** The epoch in which the node may vote once the copy is complete. */
   readonly epoch: number;
-  readonly from: NonNullable<HolderSet["previous"]>;
-  /** Nodes of the older epoch whose pages are all here. */
-  readonly done: readonly string[];
+  readonly source: NonNullable<HolderSet["previous"]>;
+  /** Nodes of the previous epoch whose pages have all been received. */
+  readonly completedNodeIds: readonly string[];
 }
 
-/** What a node holds for its service. */
+/** The records that a node stores for its service, and the epoch it votes in. */
 export interface HolderState {
   readonly records: RecordMap;
-  /** The epoch whose records are all here; 0 gives no voice. */
-  readonly voiceEpoch: number;
-  /** Nothing is granted in this epoch nor in older ones. */
+  /** The epoch in which the node votes; 0 if it holds no complete copy. */
+  readonly votingEpoch: number;
+  /** No claim is granted in this epoch or an older one. */
   readonly sealedEpoch: number;
-  readonly copying: Copying | undefined;
+  readonly copying: CopyProgress | undefined;
 }
 
-/** A step of a holder. */
+/** The holder's state after an event, with the requests to send. */
 export interface HolderStep {
   readonly state: HolderState;
-  readonly asks: readonly AskHolder[];
-  /** The epoch in which the node has just got a voice. */
+  readonly requests: readonly HolderRequest[];
+  /** The epoch to report as copied; undefined if there is none. */
   readonly copiedEpoch: number | undefined;
 }
 
-/** Most records that one node keeps. */
+/** Maximum number of records at one node. */
 export const MAX_RECORDS = 50_000;
-/** Most bytes that the records of one node take. */
+/** Maximum total size of the records of one node. */
 export const MAX_RECORD_BYTES = 16 * 1024 * 1024;
-/** Kept free for the answers of requests that run now. */
-const ANSWER_ROOM_BYTES = MAX_RECORD_BYTES / 8;
-const PAGE_BYTES = 128 * 1024;
-const COPY_PREFIX = `${CLAIM_PREFIX}copy/`;
+/** Reserved for the answers of running requests: new claims can't use it. */
+const RESERVED_ANSWER_BYTES = MAX_RECORD_BYTES / 8;
+/** A page ends with the bucket that reaches this size. */
+const TARGET_PAGE_BYTES = 128 * 1024;
+const COPY_REQUEST_PREFIX = `${CLAIM_REQUEST_PREFIX}copy/`;
 
-/** A node that has just started: empty and without a voice. */
-export const INITIAL_HOLDER: HolderState = {
+/** State after a start: no records, and no epoch to vote in. */
+export const INITIAL_HOLDER_STATE: HolderState = {
   records: EMPTY_RECORDS,
-  voiceEpoch: 0,
+  votingEpoch: 0,
   sealedEpoch: 0,
   copying: undefined,
 };
 
-/** Whether this start of the node belongs to a set. */
+/** Whether this process instance is a member of a set. */
 export function isMember(
   set: { readonly members: readonly Holder[] },
   self: Pick<Holder, "nodeId" | "incarnation">,
@@ -73,7 +81,7 @@
   );
 }
 
-/** Answers one message; `incarnation` is the node's own. */
+/** Answers a message; `at.incarnation` is that of the local node. */
 export function answerHolder(
   state: HolderState,
   message: Exclude<ClaimMessage, { type: "CheckClaim" }>,
@@ -84,7 +92,7 @@
       return grantClaim(state, message, at);
     case "ReleaseClaim":
       return {
-        state: releaseClaim(state, message.key, message.attemptId),
+        state: removeClaim(state, message.key, message.attemptId),
         reply: { type: "ClaimReleased" },
       };
     case "RecordOutcome":
@@ -94,73 +102,81 @@
   }
 }
 
-/** Starts to copy where the node is a member that has no voice yet. */
-export function followSets(
+/** Starts or continues copying if the node is a member that may not vote yet. */
+export function applySets(
   state: HolderState,
   sets: HolderSets,
   self: Pick<Holder, "nodeId" | "incarnation">,
 ): HolderStep {
-  const wanted = [sets.proposed, sets.active].find((set) =>
+  const target = [sets.proposed, sets.active].find((set) =>
     set !== undefined && isMember(set, self)
   );
-  if (wanted === undefined || wanted.epoch <= state.voiceEpoch) {
-    const isCurrent = wanted?.epoch === state.voiceEpoch;
-    const copiedEpoch = isCurrent ? state.voiceEpoch : undefined;
-    return { state, asks: [], copiedEpoch };
+  if (target === undefined || target.epoch <= state.votingEpoch) {
+    const isCurrent = target?.epoch === state.votingEpoch;
+    const copiedEpoch = isCurrent ? state.votingEpoch : undefined;
+    return { state, requests: [], copiedEpoch };
   }
-  if (wanted.previous === undefined) {
-    return activateVoice(state, wanted.epoch);
+  if (target.previous === undefined) {
+    return activateVoting(state, target.epoch);
   }
-  if (state.copying?.epoch === wanted.epoch) {
-    return askMissing(state, state.copying);
+  if (state.copying?.epoch === target.epoch) {
+    return requestMissingPages(state, state.copying);
   }
-  const copying = { epoch: wanted.epoch, from: wanted.previous, done: [] };
-  return askMissing({ ...state, copying }, copying);
+  const copying = {
+    epoch: target.epoch,
+    source: target.previous,
+    completedNodeIds: [],
+  };
+  return requestMissingPages({ ...state, copying }, copying);
 }
 
-/** Takes a page that another holder sent, or the lack of one. */
-export function takePage(
+/** Stores a page of another holder's records; ignores a missing reply. */
+export function receivePage(
   state: HolderState,
   requestId: string,
   reply: ClaimReply | undefined,
 ): HolderStep {
   const { copying } = state;
-  const [epoch, nodeId] = requestId.slice(COPY_PREFIX.length).split("/", 2);
-  const isWanted = copying !== undefined && copying.epoch === Number(epoch);
-  if (!isWanted || reply?.type !== "EpochSealed") {
-    return { state, asks: [], copiedEpoch: undefined };
+  const [epoch, nodeId] = requestId.slice(COPY_REQUEST_PREFIX.length).split(
+    "/",
+    2,
+  );
+  const isCurrentCopy = copying !== undefined &&
+    copying.epoch === Number(epoch);
+  if (!isCurrentCopy || reply?.type !== "EpochSealed") {
+    return { state, requests: [], copiedEpoch: undefined };
   }
   const records = reply.records.reduce(mergeRecord, state.records);
   if (reply.cursor !== undefined) {
-    const from = copying.from.members.find((one) => one.nodeId === nodeId)!;
-    const ask = createSealAsk(copying, from, reply.cursor);
+    const holder = copying.source.members.find((one) => one.nodeId === nodeId)!;
+    const request = createSealRequest(copying, holder, reply.cursor);
     return {
       state: { ...state, records },
-      asks: [ask],
+      requests: [request],
       copiedEpoch: undefined,
     };
   }
-  const done = [...new Set([...copying.done, nodeId!])];
-  if (done.length >= countMajority(copying.from.members)) {
-    return activateVoice({ ...state, records }, copying.epoch);
+  const completedNodeIds = [...new Set([...copying.completedNodeIds, nodeId!])];
+  if (completedNodeIds.length >= countMajority(copying.source.members)) {
+    return activateVoting({ ...state, records }, copying.epoch);
   }
-  const next = { ...state, records, copying: { ...copying, done } };
-  return { state: next, asks: [], copiedEpoch: undefined };
+  const next = { ...state, records, copying: { ...copying, completedNodeIds } };
+  return { state: next, requests: [], copiedEpoch: undefined };
 }
 
-/** Whether a reply belongs to a copy. */
+/** Whether a request id belongs to the copying of records. */
 export function isCopyReply(requestId: string): boolean {
-  return requestId.startsWith(COPY_PREFIX);
+  return requestId.startsWith(COPY_REQUEST_PREFIX);
 }
 
-/** Forgets the expired records of one bucket. */
-export function evictExpired(
+/** Evicts the expired records of one bucket. */
+export function evictExpiredRecords(
   state: HolderState,
   bucket: number,
   nowMs: number,
 ): HolderState {
   let { records } = state;
-  for (const record of records.buckets[bucket % BUCKETS]!.values()) {
+  for (const record of records.buckets[bucket % BUCKET_COUNT]!.values()) {
     if (record.expiresAtMs <= nowMs) {
       records = removeRecord(records, record.key);
     }
@@ -174,19 +190,20 @@
   at: { readonly incarnation: number; readonly nowMs: number },
 ): { readonly state: HolderState; readonly reply: ClaimReply } {
   const { epoch, key, claim } = message;
-  const isOpen = message.incarnation === at.incarnation &&
-    epoch === state.voiceEpoch && epoch > state.sealedEpoch;
-  if (!isOpen) {
+  const canVote = message.incarnation === at.incarnation &&
+    epoch === state.votingEpoch && epoch > state.sealedEpoch;
+  if (!canVote) {
     return { state, reply: { type: "ClaimRefused", reason: "epoch" } };
   }
-  const found = findRecord(state.records, key);
-  const record = found === undefined || found.expiresAtMs <= at.nowMs
+  const stored = findRecord(state.records, key);
+  const record = stored === undefined || stored.expiresAtMs <= at.nowMs
     ? undefined
-    : found;
+    : stored;
   if (record !== undefined) {
-    const isOwn = record.outcome === undefined && record.claims.length === 1 &&
+    const isSameAttempt = record.outcome === undefined &&
+      record.claims.length === 1 &&
       record.claims[0]!.attemptId === claim.attemptId;
-    const reply: ClaimReply = isOwn
+    const reply: ClaimReply = isSameAttempt
       ? { type: "ClaimGranted" }
       : { type: "ClaimHeld", record };
     return { state, reply };
@@ -200,8 +217,8 @@
   return { state: { ...state, records }, reply: { type: "ClaimGranted" } };
 }
 
-/** What has run is never forgotten by a release. */
-function releaseClaim(
+/** Removes a claim; a record with an outcome is never removed by a release. */
+function removeClaim(
   state: HolderState,
   key: string,
   attemptId: string,
@@ -217,7 +234,10 @@
   return { ...state, records };
 }
 
-/** An outcome is a fact: it is kept in any epoch, and counted in one. */
+/**
+ * Stores an outcome whatever its epoch, because it is final, but acknowledges it
+ * only in the epoch in which the node votes.
+ */
 function recordOutcome(
   state: HolderState,
   message: Extract<ClaimMessage, { type: "RecordOutcome" }>,
@@ -226,16 +246,18 @@
   const { key, outcome } = message;
   const expiresAtMs = at.nowMs + KEY_LIFETIME_MS;
   const record = { key, claims: [], outcome, expiresAtMs };
-  const known = findRecord(state.records, key)?.outcome;
-  const isKept = known?.answer !== undefined;
+  const storedOutcome = findRecord(state.records, key)?.outcome;
+  const hasAnswer = storedOutcome?.answer !== undefined;
   const sizeBytes = state.records.sizeBytes + measureRecord(record);
-  const kept = sizeBytes <= MAX_RECORD_BYTES
+  const fittingRecord = sizeBytes <= MAX_RECORD_BYTES
     ? record
     : { ...record, outcome: { ...outcome, answer: undefined } };
-  const records = isKept ? state.records : putRecord(state.records, kept);
-  const isCounted = message.incarnation === at.incarnation &&
-    message.epoch === state.voiceEpoch && message.epoch > state.sealedEpoch;
-  const reply: ClaimReply = isCounted
+  const records = hasAnswer
+    ? state.records
+    : putRecord(state.records, fittingRecord);
+  const isAcknowledged = message.incarnation === at.incarnation &&
+    message.epoch === state.votingEpoch && message.epoch > state.sealedEpoch;
+  const reply: ClaimReply = isAcknowledged
     ? { type: "OutcomeRecorded" }
     : { type: "ClaimRefused", reason: "epoch" };
   return { state: { ...state, records }, reply };
@@ -247,28 +269,28 @@
   incarnation: number,
 ): { readonly state: HolderState; readonly reply: ClaimReply } {
   const { epoch, cursor } = message;
-  if (message.incarnation !== incarnation || state.voiceEpoch < epoch) {
+  if (message.incarnation !== incarnation || state.votingEpoch < epoch) {
     return { state, reply: { type: "ClaimRefused", reason: "epoch" } };
   }
   const sealedEpoch = Math.max(state.sealedEpoch, epoch);
   const records: ClaimRecord[] = [];
   let sizeBytes = 0;
-  let next = cursor;
-  while (next < BUCKETS && sizeBytes < PAGE_BYTES) {
-    for (const record of state.records.buckets[next]!.values()) {
+  let bucket = cursor;
+  while (bucket < BUCKET_COUNT && sizeBytes < TARGET_PAGE_BYTES) {
+    for (const record of state.records.buckets[bucket]!.values()) {
       records.push(record);
       sizeBytes += measureRecord(record);
     }
-    next += 1;
+    bucket += 1;
   }
-  const following = next < BUCKETS ? next : undefined;
+  const nextCursor = bucket < BUCKET_COUNT ? bucket : undefined;
   return {
     state: { ...state, sealedEpoch },
-    reply: { type: "EpochSealed", records, cursor: following },
+    reply: { type: "EpochSealed", records, cursor: nextCursor },
   };
 }
 
-/** Any claim may have had the majority, so all are kept. */
+/** Merges two records; retains all claims, as any may have had a majority. */
 function mergeRecord(records: RecordMap, other: ClaimRecord): RecordMap {
   const own = findRecord(records, other.key);
   if (own === undefined) {
@@ -289,36 +311,40 @@
   return putRecord(records, { key: own.key, claims, outcome, expiresAtMs });
 }
 
-function askMissing(state: HolderState, copying: Copying): HolderStep {
-  const asks = copying.from.members
-    .filter((member) => !copying.done.includes(member.nodeId))
-    .map((member) => createSealAsk(copying, member, 0));
-  return { state, asks, copiedEpoch: undefined };
+function requestMissingPages(
+  state: HolderState,
+  copying: CopyProgress,
+): HolderStep {
+  const requests = copying.source.members
+    .filter((member) => !copying.completedNodeIds.includes(member.nodeId))
+    .map((member) => createSealRequest(copying, member, 0));
+  return { state, requests, copiedEpoch: undefined };
 }
 
-function createSealAsk(
-  copying: Copying,
-  from: Holder,
+function createSealRequest(
+  copying: CopyProgress,
+  holder: Holder,
   cursor: number,
-): AskHolder {
-  const { incarnation } = from;
-  const { epoch } = copying.from;
+): HolderRequest {
+  const { incarnation } = holder;
+  const { epoch } = copying.source;
   return {
     type: "AskPeer",
-    requestId: `${COPY_PREFIX}${copying.epoch}/${from.nodeId}/${cursor}`,
-    address: from.ingress,
+    requestId:
+      `${COPY_REQUEST_PREFIX}${copying.epoch}/${holder.nodeId}/${cursor}`,
+    address: holder.ingress,
     message: { type: "SealEpoch", epoch, incarnation, cursor },
     timeoutMs: HOLDER_TIMEOUT_MS * 4,
     isFresh: false,
   };
 }
 
-function activateVoice(state: HolderState, epoch: number): HolderStep {
-  const next = { ...state, voiceEpoch: epoch, copying: undefined };
-  return { state: next, asks: [], copiedEpoch: epoch };
+function activateVoting(state: HolderState, epoch: number): HolderStep {
+  const next = { ...state, votingEpoch: epoch, copying: undefined };
+  return { state: next, requests: [], copiedEpoch: epoch };
 }
 
 function isFull(records: RecordMap): boolean {
   return records.count >= MAX_RECORDS ||
-    records.sizeBytes >= MAX_RECORD_BYTES - ANSWER_ROOM_BYTES;
+    records.sizeBytes >= MAX_RECORD_BYTES - RESERVED_ANSWER_BYTES;
 }
--- a/src/engine/claims/common/holder_set_reducer.ts
+++ b/src/engine/claims/common/holder_set_reducer.ts
@@ -1,28 +1,29 @@
-/** Decides which nodes hold the keys of a service; it is replicated. */
+/** Replicated state machine that selects the holders of a service's keys. */
 import { hashText } from "../../../base/common/hash.ts";
 import { countMajority } from "./claim_types.ts";
 import type { Holder, HolderSet, HolderSets } from "./claim_types.ts";
 
 /** A node that may become a holder. */
 export interface Candidate extends Holder {
-  /** A draining node stays a holder until others have copied. */
+  /** A draining node remains a holder until the next set has copied. */
   readonly isDraining: boolean;
 }
 
-/** The holder sets of one service, with the reports on the proposed one. */
+/** The holder sets of a service, and the reports about the proposed one. */
 export interface ServiceHolders extends HolderSets {
-  /** Nodes of the proposed set that have copied, by node id. */
+  /** Node ids of the proposed set's members that have reported a complete copy. */
   readonly copied: readonly string[];
+  /** The highest epoch that was proposed for the service. */
   readonly lastEpoch: number;
 }
 
-/** A change of the holder sets, in the form that a log can carry. */
+/** A change of the holder sets, as a serializable log entry. */
 export type HolderCommand =
   | {
     readonly type: "HolderSetProposed";
     readonly service: string;
     readonly members: readonly Holder[];
-    /** The last epoch that the plan was made from; 0 for none. */
+    /** `lastEpoch` when the plan was made; 0 if there was no set. */
     readonly fromEpoch: number;
   }
   | {
@@ -33,12 +34,12 @@
     readonly incarnation: number;
   };
 
-/** Most holders of a service. */
-export const MAX_HOLDERS = 3;
+/** Maximum number of holders of a service. */
+export const MAX_SET_SIZE = 3;
 
 /**
- * Applies a command; the same on every replica. A plan that was made from
- * other sets than the present ones changes nothing.
+ * Applies a command; deterministic, so that all replicas agree. A plan that was
+ * made from outdated sets changes nothing.
  */
 export function applyHolderCommand(
   current: ServiceHolders | undefined,
@@ -55,35 +56,37 @@
 }
 
 /**
- * Plans the members that a service should have; undefined where the present
- * ones do. Live members stay, so that little is copied; a set never shrinks,
- * for a smaller one would lose more with its next loss.
+ * Plans a new set of members; undefined if the latest set is sufficient.
+ * Available members are retained, which limits copying. A set never shrinks,
+ * because a smaller one tolerates fewer losses.
  */
 export function planHolders(
   current: ServiceHolders | undefined,
   candidates: readonly Candidate[],
   service: string,
 ): readonly Holder[] | undefined {
-  const live = candidates.filter((candidate) => !candidate.isDraining);
-  const set = current?.proposed ?? current?.active;
-  const size = chooseSize(live.length);
-  if (size === 0 || size < (set?.members.length ?? 0)) {
+  const available = candidates.filter((candidate) => !candidate.isDraining);
+  const latest = current?.proposed ?? current?.active;
+  const size = chooseSetSize(available.length);
+  if (size === 0 || size < (latest?.members.length ?? 0)) {
     return undefined;
   }
-  const staying = (set?.members ?? []).filter((member) =>
-    live.some((candidate) => isSameStart(candidate, member))
+  const retained = (latest?.members ?? []).filter((member) =>
+    available.some((candidate) => isSameInstance(candidate, member))
   );
-  const isWhole = staying.length >= size;
-  return isWhole ? undefined : chooseHolders({ service, live, staying, size });
+  const isComplete = retained.length >= size;
+  return isComplete
+    ? undefined
+    : chooseHolders({ service, available, retained, size });
 }
 
-/** Whether all of some holders are among others. */
-export function hasHolders(
+/** Whether all required holders are among the members. */
+export function hasAllHolders(
   members: readonly Holder[],
-  some: readonly Holder[],
+  required: readonly Holder[],
 ): boolean {
-  return some.every((one) =>
-    members.some((member) => isSameStart(member, one))
+  return required.every((one) =>
+    members.some((member) => isSameInstance(member, one))
   );
 }
 
@@ -105,15 +108,15 @@
   return { active: current.active, proposed, copied: [], lastEpoch: epoch };
 }
 
-/** A set is claimed in only after a majority of it has copied. */
+/** Activates the proposed set once a majority of its members has copied. */
 function activateSet(
   current: ServiceHolders,
   command: Extract<HolderCommand, { type: "HolderCopied" }>,
 ): ServiceHolders {
   const { proposed } = current;
-  const isWanted = proposed?.epoch === command.epoch &&
-    proposed.members.some((member) => isSameStart(member, command));
-  if (proposed === undefined || !isWanted) {
+  const isExpected = proposed?.epoch === command.epoch &&
+    proposed.members.some((member) => isSameInstance(member, command));
+  if (proposed === undefined || !isExpected) {
     return current;
   }
   const copied = [...new Set([...current.copied, command.nodeId])];
@@ -123,38 +126,39 @@
   return { ...current, active: proposed, proposed: undefined, copied: [] };
 }
 
-/** An odd number: an even one needs more votes and bears no more losses. */
-function chooseSize(nodes: number): number {
-  const most = Math.min(MAX_HOLDERS, nodes);
-  return most % 2 === 0 ? Math.max(0, most - 1) : most;
+/** Returns an odd size: an even one needs more votes but tolerates no more losses. */
+function chooseSetSize(nodeCount: number): number {
+  const limit = Math.min(MAX_SET_SIZE, nodeCount);
+  return limit % 2 === 0 ? Math.max(0, limit - 1) : limit;
 }
 
-/** Other data centres first, then by rendezvous hashing. */
-function chooseHolders(from: {
+/** Prefers nodes in other data centres, then ranks by rendezvous hashing. */
+function chooseHolders(inputs: {
   readonly service: string;
-  readonly live: readonly Candidate[];
-  readonly staying: readonly Holder[];
+  readonly available: readonly Candidate[];
+  readonly retained: readonly Holder[];
   readonly size: number;
 }): readonly Holder[] {
-  const chosen = from.staying.slice(0, from.size);
-  const ranked = from.live.toSorted((a, b) =>
-    hashText(`${from.service}/${b.nodeId}`) -
-    hashText(`${from.service}/${a.nodeId}`)
+  const chosen = inputs.retained.slice(0, inputs.size);
+  const ranked = inputs.available.toSorted((a, b) =>
+    hashText(`${inputs.service}/${b.nodeId}`) -
+    hashText(`${inputs.service}/${a.nodeId}`)
   );
-  while (chosen.length < from.size) {
-    const free = ranked.filter((candidate) =>
+  while (chosen.length < inputs.size) {
+    const remaining = ranked.filter((candidate) =>
       chosen.every((holder) => holder.nodeId !== candidate.nodeId)
     );
-    const apart = free.find((candidate) =>
+    const inOtherDataCentre = remaining.find((candidate) =>
       chosen.every((holder) => holder.dataCentre !== candidate.dataCentre)
     );
-    const { nodeId, incarnation, dataCentre, ingress } = apart ?? free[0]!;
+    const { nodeId, incarnation, dataCentre, ingress } = inOtherDataCentre ??
+      remaining[0]!;
     chosen.push({ nodeId, incarnation, dataCentre, ingress });
   }
   return chosen;
 }
 
-function isSameStart(
+function isSameInstance(
   a: Pick<Holder, "nodeId" | "incarnation">,
   b: Pick<Holder, "nodeId" | "incarnation">,
 ): boolean {
--- a/src/engine/claims/common/node_claims.ts
+++ b/src/engine/claims/common/node_claims.ts
@@ -1,34 +1,34 @@
-/** Both parts that a node plays in claims, under one state. */
+/** Combines the claimant and the holder state of a node. */
 import { createReduction } from "../../../base/common/reduction.ts";
 import type { Reduction } from "../../../base/common/reduction.ts";
 import type { ClaimMessage, ClaimReply } from "./claim_messages.ts";
-import { checkClaim, startClaim, takeClaimReply } from "./claim_reducer.ts";
+import { checkClaim, receiveClaimReply, startClaim } from "./claim_reducer.ts";
 import type { ClaimStep } from "./claim_reducer.ts";
-import { INITIAL_CLAIMS } from "./claim_state.ts";
+import { INITIAL_CLAIM_STATE } from "./claim_state.ts";
 import type { ClaimEffect, ClaimState } from "./claim_state.ts";
 import type { Holder, HolderSets, RequestKey } from "./claim_types.ts";
 import {
   answerHolder,
-  evictExpired,
-  followSets,
-  INITIAL_HOLDER,
+  applySets,
+  evictExpiredRecords,
+  INITIAL_HOLDER_STATE,
   isCopyReply,
-  takePage,
+  receivePage,
 } from "./holder_reducer.ts";
 import type { HolderState, HolderStep } from "./holder_reducer.ts";
-import { retryOutcomes } from "./outcome_steps.ts";
-import { BUCKETS } from "./record_map.ts";
+import { resendOutcomes } from "./outcome_steps.ts";
+import { BUCKET_COUNT } from "./record_map.ts";
 
-/** All that a node knows of claims. */
+/** A node's state in the claim protocol. */
 export interface NodeClaims {
-  /** Undefined until control has told them. */
+  /** Undefined until received from control. */
   readonly sets: HolderSets | undefined;
   readonly holder: HolderState;
-  readonly own: ClaimState;
+  readonly claimant: ClaimState;
   readonly ticks: number;
 }
 
-/** What a node does about claims. */
+/** Effects of a node's claim protocol. */
 export type NodeClaimEffect =
   | ClaimEffect
   | {
@@ -37,125 +37,133 @@
     readonly epoch: number;
   };
 
-/** A step of a node's claims. */
+/** The state after an event, with the effects to perform. */
 export type NodeClaimStep = Reduction<NodeClaims, NodeClaimEffect>;
 
-/** The start of the node that takes a step. */
-export type SelfHolder = Pick<Holder, "nodeId" | "incarnation" | "ingress">;
+/** The local node's process instance. */
+export type LocalHolder = Pick<Holder, "nodeId" | "incarnation" | "ingress">;
 
-/** A node that has just started. */
+/** State after a start. */
 export const INITIAL_NODE_CLAIMS: NodeClaims = {
   sets: undefined,
-  holder: INITIAL_HOLDER,
-  own: INITIAL_CLAIMS,
+  holder: INITIAL_HOLDER_STATE,
+  claimant: INITIAL_CLAIM_STATE,
   ticks: 0,
 };
 
-/** Ticks between two tries to copy, report and record. */
-const RETRY_TICKS = 10;
+/** Ticks between retries of copying, reporting and recording. */
+const RETRY_INTERVAL_TICKS = 10;
 
-/** Replaces the claims that the node makes. */
-export function applyOwn(
+/** Applies a step of the claimant. */
+export function applyClaimStep(
   claims: NodeClaims,
   step: ClaimStep,
 ): NodeClaimStep {
   return createReduction<NodeClaims, NodeClaimEffect>(
-    { ...claims, own: step.state },
+    { ...claims, claimant: step.state },
     step.effects,
   );
 }
 
-/** Asks for the key of an attempt; undefined where no holders are known. */
+/** Claims the key of an attempt; undefined if no holders are known. */
 export function claimAttempt(
   claims: NodeClaims,
   request: RequestKey,
-  by: { readonly attemptId: string; readonly ingress: string },
+  attempt: { readonly attemptId: string; readonly ingress: string },
 ): NodeClaimStep | undefined {
   const set = claims.sets?.active;
-  return set === undefined
-    ? undefined
-    : applyOwn(claims, startClaim(claims.own, { ...by, request, set }));
+  return set === undefined ? undefined : applyClaimStep(
+    claims,
+    startClaim(claims.claimant, { ...attempt, request, set }),
+  );
 }
 
-/** Takes the sets that control told; older ones are passed over. */
-export function takeSets(
+/** Processes the sets received from control; ignores outdated ones. */
+export function receiveSets(
   claims: NodeClaims,
   sets: HolderSets,
-  self: SelfHolder,
+  self: LocalHolder,
 ): NodeClaimStep {
-  if (claims.sets !== undefined && isOlder(sets, claims.sets)) {
+  if (claims.sets !== undefined && isOlderThan(sets, claims.sets)) {
     return createReduction(claims);
   }
-  return followHolders({ ...claims, sets }, self);
+  return applyHolderSets({ ...claims, sets }, self);
 }
 
-/** Both epochs only grow: a replica that is behind tells older ones. */
-function isOlder(sets: HolderSets, known: HolderSets): boolean {
+/** Both epochs only grow; a replica that lags sends older ones. */
+function isOlderThan(sets: HolderSets, known: HolderSets): boolean {
   const isSameActive = sets.active.epoch === known.active.epoch;
   return sets.active.epoch < known.active.epoch ||
     isSameActive && (sets.proposed?.epoch ?? 0) < (known.proposed?.epoch ?? 0);
 }
 
-/** Answers another node. */
+/** Answers a message from another node. */
 export function answerClaimMessage(
   claims: NodeClaims,
   message: ClaimMessage,
   at: { readonly incarnation: number; readonly nowMs: number },
 ): { readonly claims: NodeClaims; readonly reply: ClaimReply } {
   if (message.type === "CheckClaim") {
-    const phase = checkClaim(claims.own, message.attemptId);
+    const phase = checkClaim(claims.claimant, message.attemptId);
     return { claims, reply: { type: "ClaimChecked", phase } };
   }
   const { state, reply } = answerHolder(claims.holder, message, at);
   return { claims: { ...claims, holder: state }, reply };
 }
 
-/** Takes the reply to a question of this area. */
-export function takeReply(
+/** Processes the reply to a claim or copy request. */
+export function receiveReply(
   claims: NodeClaims,
   requestId: string,
   reply: ClaimReply | undefined,
 ): NodeClaimStep {
   return isCopyReply(requestId)
-    ? applyHolder(claims, takePage(claims.holder, requestId, reply))
-    : applyOwn(claims, takeClaimReply(claims.own, requestId, reply));
+    ? applyHolderStep(claims, receivePage(claims.holder, requestId, reply))
+    : applyClaimStep(
+      claims,
+      receiveClaimReply(claims.claimant, requestId, reply),
+    );
 }
 
-/** Evicts a little at a time, and tries again what has not gone through. */
+/** Evicts expired records of one bucket, and retries unfinished work. */
 export function tickClaims(
   claims: NodeClaims,
-  self: SelfHolder,
+  self: LocalHolder,
   nowMs: number,
 ): NodeClaimStep {
   const ticks = claims.ticks + 1;
-  const holder = evictExpired(claims.holder, ticks % BUCKETS, nowMs);
+  const holder = evictExpiredRecords(
+    claims.holder,
+    ticks % BUCKET_COUNT,
+    nowMs,
+  );
   const next = { ...claims, holder, ticks };
-  if (claims.sets === undefined || ticks % RETRY_TICKS !== 0) {
+  if (claims.sets === undefined || ticks % RETRY_INTERVAL_TICKS !== 0) {
     return createReduction(next);
   }
-  const recorded = applyOwn(
+  const resent = applyClaimStep(
     next,
-    retryOutcomes(next.own, claims.sets.active),
+    resendOutcomes(next.claimant, claims.sets.active),
   );
-  const followed = followHolders(recorded.state, self);
-  const effects = [...recorded.effects, ...followed.effects];
-  return { state: followed.state, effects };
+  const applied = applyHolderSets(resent.state, self);
+  const effects = [...resent.effects, ...applied.effects];
+  return { state: applied.state, effects };
 }
 
-function followHolders(claims: NodeClaims, self: SelfHolder): NodeClaimStep {
-  return applyHolder(claims, followSets(claims.holder, claims.sets!, self));
+function applyHolderSets(claims: NodeClaims, self: LocalHolder): NodeClaimStep {
+  return applyHolderStep(claims, applySets(claims.holder, claims.sets!, self));
 }
 
-/** Reports as long as control hasn't made the copied set the active one. */
-function applyHolder(claims: NodeClaims, step: HolderStep): NodeClaimStep {
+/** Reports a complete copy until control activates the copied set. */
+function applyHolderStep(claims: NodeClaims, step: HolderStep): NodeClaimStep {
   const { sets } = claims;
   const epoch = step.copiedEpoch;
-  const isAwaited = epoch !== undefined && sets?.proposed?.epoch === epoch;
-  const reports: readonly NodeClaimEffect[] = isAwaited
+  const isUnconfirmed = epoch !== undefined && sets?.proposed?.epoch === epoch;
+  const reports: readonly NodeClaimEffect[] = isUnconfirmed
     ? [{ type: "ReportCopied", service: sets!.active.service, epoch }]
     : [];
   return createReduction<NodeClaims, NodeClaimEffect>(
     { ...claims, holder: step.state },
-    [...step.asks, ...reports],
+    [...step.requests, ...reports],
   );
 }
--- a/src/engine/claims/common/outcome_steps.ts
+++ b/src/engine/claims/common/outcome_steps.ts
@@ -1,4 +1,4 @@
-/** Carries the outcome of a run to the holders before the answer goes out. */
+/** Records the outcome of a run at the holders before its answer is relayed. */
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 import {
   chainReduction,
@@ -6,7 +6,7 @@
 } from "../../../base/common/reduction.ts";
 import type { Reduction } from "../../../base/common/reduction.ts";
 import type { ClaimReply } from "./claim_messages.ts";
-import { createAsk } from "./claim_state.ts";
+import { createHolderRequest } from "./claim_state.ts";
 import type {
   ClaimEffect,
   ClaimState,
@@ -18,10 +18,11 @@
 
 type ClaimStep = Reduction<ClaimState, ClaimEffect>;
 
-const MAX_TRIES = 30;
+/** Sends after which the node no longer tries to record an outcome. */
+const MAX_SENDS = 30;
 
-/** The attempt ran; `answer` is undefined where it is too large to keep. */
-export function recordRun(
+/** Records that an attempt ran; `answer` is undefined if too large to store. */
+export function recordRunOutcome(
   state: ClaimState,
   attemptId: string,
   answer: StoredAnswer | undefined,
@@ -31,97 +32,104 @@
     return createReduction(state, [{ type: "RelayClaimed", attemptId }]);
   }
   const { fingerprint } = coordination.claim;
-  return askHolders(state, {
+  return sendOutcome(state, {
     ...coordination,
     phase: "recording",
     recording: {
       outcome: { attemptId, fingerprint, answer },
-      kept: new Set(),
-      replied: new Set(),
-      isRelayed: false,
-      tries: 1,
+      acknowledgedBy: new Set(),
+      repliedBy: new Set(),
+      isAnswerRelayed: false,
+      sendCount: 1,
     },
   });
 }
 
-/** The attempt came to no known outcome: its claim stands for ever. */
-export function forgetRun(state: ClaimState, attemptId: string): ClaimState {
+/** Drops an attempt without releasing its claim, which remains until it expires. */
+export function discardClaim(state: ClaimState, attemptId: string): ClaimState {
   const coordinations = deleteEntry(state.coordinations, attemptId);
   return { ...state, coordinations };
 }
 
-/** Counts one holder's reply to an outcome. */
-export function takeRecordReply(
+/** Processes a holder's reply to an outcome. */
+export function receiveRecordReply(
   state: ClaimState,
   coordination: Coordination,
-  got: {
+  received: {
     readonly epoch: string;
     readonly from: string;
     readonly reply: ClaimReply | undefined;
   },
 ): ClaimStep {
   const { set, recording } = coordination;
-  if (recording === undefined || set.epoch !== Number(got.epoch)) {
+  if (recording === undefined || set.epoch !== Number(received.epoch)) {
     return createReduction(state);
   }
-  const isKept = got.reply?.type === "OutcomeRecorded";
+  const isAcknowledged = received.reply?.type === "OutcomeRecorded";
   const next: Recording = {
     ...recording,
-    kept: isKept ? new Set(recording.kept).add(got.from) : recording.kept,
-    replied: new Set(recording.replied).add(got.from),
+    acknowledgedBy: isAcknowledged
+      ? new Set(recording.acknowledgedBy).add(received.from)
+      : recording.acknowledgedBy,
+    repliedBy: new Set(recording.repliedBy).add(received.from),
   };
   return settleRecording(state, { ...coordination, recording: next });
 }
 
-/** Sends outcomes again to the holders that haven't counted them. */
-export function retryOutcomes(
+/** Resends outcomes to the holders that haven't acknowledged them. */
+export function resendOutcomes(
   state: ClaimState,
   active: HolderSet | undefined,
 ): ClaimStep {
-  const waiting = [...state.coordinations.values()].filter((one) =>
+  const unsettled = [...state.coordinations.values()].filter((one) =>
     one.recording !== undefined
   );
-  return waiting.reduce<ClaimStep>(
+  return unsettled.reduce<ClaimStep>(
     (step, coordination) =>
-      chainReduction(step, (s) => retryOutcome(s, coordination, active)),
+      chainReduction(step, (s) => resendOutcome(s, coordination, active)),
     createReduction(state),
   );
 }
 
-function retryOutcome(
+function resendOutcome(
   state: ClaimState,
   coordination: Coordination,
   active: HolderSet | undefined,
 ): ClaimStep {
   const recording = coordination.recording!;
   const { attemptId } = coordination.claim;
-  if (recording.tries >= MAX_TRIES) {
-    return createReduction(forgetRun(state, attemptId));
+  if (recording.sendCount >= MAX_SENDS) {
+    return createReduction(discardClaim(state, attemptId));
   }
   const isNewer = (active?.epoch ?? 0) > coordination.set.epoch;
   const set = isNewer ? active! : coordination.set;
-  const kept = isNewer ? new Set<string>() : recording.kept;
-  const tries = recording.tries + 1;
-  const next: Recording = { ...recording, kept, replied: kept, tries };
-  return askHolders(state, { ...coordination, set, recording: next });
+  const acknowledgedBy = isNewer ? new Set<string>() : recording.acknowledgedBy;
+  const sendCount = recording.sendCount + 1;
+  const next: Recording = {
+    ...recording,
+    acknowledgedBy,
+    repliedBy: acknowledgedBy,
+    sendCount,
+  };
+  return sendOutcome(state, { ...coordination, set, recording: next });
 }
 
-function askHolders(state: ClaimState, coordination: Coordination): ClaimStep {
+function sendOutcome(state: ClaimState, coordination: Coordination): ClaimStep {
   const { set, key } = coordination;
-  const { outcome, kept } = coordination.recording!;
-  const asks = set.members
-    .filter((member) => !kept.has(member.nodeId))
+  const { outcome, acknowledgedBy } = coordination.recording!;
+  const requests = set.members
+    .filter((member) => !acknowledgedBy.has(member.nodeId))
     .map(({ nodeId, incarnation, ingress }) =>
-      createAsk(
+      createHolderRequest(
         `outcome/${outcome.attemptId}/${set.epoch}/${nodeId}`,
         ingress,
         { type: "RecordOutcome", epoch: set.epoch, incarnation, key, outcome },
       )
     );
-  return createReduction(putCoordination(state, coordination), asks);
+  return createReduction(putCoordination(state, coordination), requests);
 }
 
-/** The answer goes out at a majority, or once nobody else will reply. */
+/** Relays the answer at a majority, or once all holders have replied. */
 function settleRecording(
   state: ClaimState,
   coordination: Coordination,
@@ -129,17 +137,21 @@
   const { set, claim } = coordination;
   const recording = coordination.recording!;
   const { attemptId } = claim;
-  const isKept = recording.kept.size >= countMajority(set.members);
-  const isOver = recording.replied.size >= set.members.length;
-  const effects: readonly ClaimEffect[] = (isKept || isOver) &&
-      !recording.isRelayed
+  const hasMajority =
+    recording.acknowledgedBy.size >= countMajority(set.members);
+  const hasAllReplies = recording.repliedBy.size >= set.members.length;
+  const effects: readonly ClaimEffect[] = (hasMajority || hasAllReplies) &&
+      !recording.isAnswerRelayed
     ? [{ type: "RelayClaimed", attemptId }]
     : [];
-  if (isKept) {
-    return createReduction(forgetRun(state, attemptId), effects);
+  if (hasMajority) {
+    return createReduction(discardClaim(state, attemptId), effects);
   }
-  const isRelayed = recording.isRelayed || isOver;
-  const next = { ...coordination, recording: { ...recording, isRelayed } };
+  const isAnswerRelayed = recording.isAnswerRelayed || hasAllReplies;
+  const next = {
+    ...coordination,
+    recording: { ...recording, isAnswerRelayed },
+  };
   return createReduction(putCoordination(state, next), effects);
 }
 
--- a/src/engine/claims/common/record_map.ts
+++ b/src/engine/claims/common/record_map.ts
@@ -1,40 +1,39 @@
-/** A persistent map of records in buckets, so that an update copies little. */
+/** An immutable map of records in buckets, so that an update copies one bucket. */
 import { hashText } from "../../../base/common/hash.ts";
 import { deleteEntry, setEntry } from "../../../base/common/maps.ts";
 import type { ClaimRecord } from "./claim_types.ts";
 
-/** Buckets of the map; a power of two. */
-export const BUCKETS = 256;
+/** Number of buckets; a power of two. */
+export const BUCKET_COUNT = 256;
 
 /** Records by key. */
 export interface RecordMap {
   readonly buckets: readonly ReadonlyMap<string, ClaimRecord>[];
   readonly count: number;
-  /** Bytes that the records take, roughly. */
+  /** Estimated memory of all records, in bytes. */
   readonly sizeBytes: number;
 }
 
-const RECORD_BYTES = 400;
+/** Estimated size of a record without its answer. */
+const RECORD_OVERHEAD_BYTES = 400;
 const NO_RECORDS: ReadonlyMap<string, ClaimRecord> = new Map();
 
-/** No records. */
 export const EMPTY_RECORDS: RecordMap = {
-  buckets: Array.from({ length: BUCKETS }, () => NO_RECORDS),
+  buckets: Array.from({ length: BUCKET_COUNT }, () => NO_RECORDS),
   count: 0,
   sizeBytes: 0,
 };
 
-/** Finds the record of a key. */
 export function findRecord(
   map: RecordMap,
   key: string,
 ): ClaimRecord | undefined {
-  return map.buckets[choose(key)]!.get(key);
+  return map.buckets[computeBucket(key)]!.get(key);
 }
 
-/** Binds the record's key to it. */
+/** Inserts a record, or replaces the one with the same key. */
 export function putRecord(map: RecordMap, record: ClaimRecord): RecordMap {
-  const index = choose(record.key);
+  const index = computeBucket(record.key);
   const old = map.buckets[index]!.get(record.key);
   const bucket = setEntry(map.buckets[index]!, record.key, record);
   return {
@@ -44,9 +43,9 @@
   };
 }
 
-/** Forgets a key. */
+/** Removes the record of a key. */
 export function removeRecord(map: RecordMap, key: string): RecordMap {
-  const index = choose(key);
+  const index = computeBucket(key);
   const old = map.buckets[index]!.get(key);
   if (old === undefined) {
     return map;
@@ -58,16 +57,16 @@
   };
 }
 
-/** Measures a record in bytes, roughly; 0 for none. */
+/** Estimates the size of a record in bytes; 0 if undefined. */
 export function measureRecord(record: ClaimRecord | undefined): number {
   if (record === undefined) {
     return 0;
   }
   const answer = record.outcome?.answer;
   const headers = answer?.headers.join("").length ?? 0;
-  return RECORD_BYTES + headers + (answer?.bodyBase64.length ?? 0);
+  return RECORD_OVERHEAD_BYTES + headers + (answer?.bodyBase64.length ?? 0);
 }
 
-function choose(key: string): number {
-  return hashText(key) % BUCKETS;
+function computeBucket(key: string): number {
+  return hashText(key) % BUCKET_COUNT;
 }
--- a/src/engine/claims/test/at_most_once_test.ts
+++ b/src/engine/claims/test/at_most_once_test.ts
@@ -1,10 +1,13 @@
-/** A key never runs twice, whatever is lost, repeated, restarted or moved. */
+/**
+ * Guards against running a key twice when messages are lost or duplicated, nodes
+ * restart, or holder sets change; each mutation must make the check fail.
+ */
 import { expect } from "chai";
 import fc from "fast-check";
 import { ClaimModel } from "./claim_model.ts";
 import type { Action, Mutation } from "./claim_model.ts";
 
-const SCHEDULES = 2_500;
+const SCHEDULE_COUNT = 2_500;
 const SEED = 20_261;
 
 const PICK = fc.nat({ max: 10_000 });
@@ -27,13 +30,16 @@
   return PICK.map((pick) => ({ type, pick }));
 }
 
-interface Seen {
+interface ScheduleResult {
   readonly runs: number;
   readonly answered: number;
   readonly epochs: number;
 }
 
-function runSchedule(actions: readonly Action[], mutation: Mutation): Seen {
+function runSchedule(
+  actions: readonly Action[],
+  mutation: Mutation,
+): ScheduleResult {
   const model = new ClaimModel(mutation);
   actions.forEach((action) => model.step(action));
   model.settle();
@@ -57,16 +63,16 @@
     const total = { runs: 0, answered: 0, moved: 0 };
     fc.assert(
       fc.property(SCHEDULE, (actions) => {
-        const seen = runSchedule(actions, "none");
-        total.runs += seen.runs;
-        total.answered += seen.answered;
-        total.moved += seen.epochs > 1 ? 1 : 0;
+        const result = runSchedule(actions, "none");
+        total.runs += result.runs;
+        total.answered += result.answered;
+        total.moved += result.epochs > 1 ? 1 : 0;
       }),
-      { numRuns: SCHEDULES, seed: SEED },
+      { numRuns: SCHEDULE_COUNT, seed: SEED },
     );
-    expect(total.runs).to.be.above(SCHEDULES / 4);
-    expect(total.answered).to.be.above(SCHEDULES / 10);
-    expect(total.moved).to.be.above(SCHEDULES / 10);
+    expect(total.runs).to.be.above(SCHEDULE_COUNT / 4);
+    expect(total.answered).to.be.above(SCHEDULE_COUNT / 10);
+    expect(total.moved).to.be.above(SCHEDULE_COUNT / 10);
   });
 
   const mutations: readonly Mutation[] = [
@@ -81,7 +87,7 @@
         fc.property(SCHEDULE, (actions) => {
           runSchedule(actions, mutation);
         }),
-        { numRuns: SCHEDULES, seed: SEED, endOnFailure: true },
+        { numRuns: SCHEDULE_COUNT, seed: SEED, endOnFailure: true },
       );
       expect(result.failed).to.equal(true);
       expect(String(result.errorInstance)).to.contain("runs of k");
--- a/src/engine/claims/test/claim_model.ts
+++ b/src/engine/claims/test/claim_model.ts
@@ -1,25 +1,25 @@
-/** A small model of nodes, control and a lossy network, for schedules. */
-import type { AskHolder, ClaimReply } from "../common/claim_messages.ts";
+/** Model of nodes, control and a lossy network, driven by random schedules. */
+import type { ClaimReply, HolderRequest } from "../common/claim_messages.ts";
 import {
   checkClaim,
+  receiveClaimReply,
   resumeClaim,
   startClaim,
-  takeClaimReply,
 } from "../common/claim_reducer.ts";
 import type { ClaimStep } from "../common/claim_reducer.ts";
-import { INITIAL_CLAIMS } from "../common/claim_state.ts";
+import { INITIAL_CLAIM_STATE } from "../common/claim_state.ts";
 import type {
   ClaimEffect,
   ClaimState,
-  Verdict,
+  ClaimVerdict,
 } from "../common/claim_state.ts";
 import type { HolderSet, HolderSets } from "../common/claim_types.ts";
 import {
   answerHolder,
-  followSets,
-  INITIAL_HOLDER,
+  applySets,
+  INITIAL_HOLDER_STATE,
   isCopyReply,
-  takePage,
+  receivePage,
 } from "../common/holder_reducer.ts";
 import type { HolderState, HolderStep } from "../common/holder_reducer.ts";
 import {
@@ -27,9 +27,9 @@
   planHolders,
 } from "../common/holder_set_reducer.ts";
 import type { ServiceHolders } from "../common/holder_set_reducer.ts";
-import { recordRun, retryOutcomes } from "../common/outcome_steps.ts";
+import { recordRunOutcome, resendOutcomes } from "../common/outcome_steps.ts";
 
-/** One way to break the protocol; each must break the promise. */
+/** Removes one rule of the protocol; each must lead to a repeated run. */
 export type Mutation =
   | "none"
   | "copy-nothing"
@@ -50,12 +50,12 @@
 interface Packet {
   readonly from: string;
   readonly incarnation: number;
-  readonly ask: AskHolder;
-  /** Set on the way back; "lost" where the question or reply was. */
+  readonly request: HolderRequest;
+  /** Set once answered; "lost" if the request or its reply was lost. */
   readonly reply?: ClaimReply | "lost";
 }
 
-/** One thing that happens; numbers are taken modulo what there is. */
+/** One event; `pick` selects its target, modulo the number of targets. */
 export interface Action {
   readonly type:
     | "deliver"
@@ -73,33 +73,33 @@
 }
 
 const NODES = ["n0", "n1", "n2", "n3", "n4"];
-const MANY = 8;
-const STRIDE = 7_919;
+const BATCH_SIZE = 8;
+const PICK_STRIDE = 7_919;
 const SERVICE = "custody";
 
 /** A service of five nodes, three of them holders. */
 export class ClaimModel {
   readonly nodes: readonly Node[];
   readonly runs = new Map<string, number>();
-  readonly verdicts: (Verdict & { readonly key: string })[] = [];
+  readonly verdicts: (ClaimVerdict & { readonly key: string })[] = [];
   readonly #mutation: Mutation;
   readonly #keys = new Map<string, string>();
   #packets: Packet[] = [];
   #sets: ServiceHolders | undefined;
-  #attempts = 0;
+  #attemptCount = 0;
 
   constructor(mutation: Mutation) {
     this.#mutation = mutation;
     this.nodes = NODES.map((id) => createNode(id));
-    this.#plan();
-    this.nodes.forEach((node) => this.#tell(node));
+    this.#proposeHolders();
+    this.nodes.forEach((node) => this.#notify(node));
   }
 
   get epoch(): number {
     return this.#sets!.active.epoch;
   }
 
-  /** Does one thing. */
+  /** Performs one action. */
   step(action: Action): void {
     const { type, pick } = action;
     const node = this.nodes[pick % this.nodes.length]!;
@@ -107,8 +107,8 @@
       case "deliver":
         return this.#deliver(pick, false);
       case "deliver-many":
-        for (let i = 0; i < MANY; i++) {
-          this.#deliver(pick + i * STRIDE, false);
+        for (let i = 0; i < BATCH_SIZE; i++) {
+          this.#deliver(pick + i * PICK_STRIDE, false);
         }
         return;
       case "repeat":
@@ -127,22 +127,22 @@
         }
         return;
       case "retry":
-        this.#follow(node);
+        this.#applySets(node);
         return this.#apply(
           node,
-          retryOutcomes(node.claims, node.sets?.active),
+          resendOutcomes(node.claims, node.sets?.active),
         );
       case "tell":
-        return this.#tell(node);
+        return this.#notify(node);
       case "drain":
         node.isDraining = !node.isDraining;
-        return this.#plan();
+        return this.#proposeHolders();
       case "restart":
         return this.#restart(node);
     }
   }
 
-  /** Delivers all that is under way, until nothing is. */
+  /** Delivers packets until none is in flight, or 2,000 have been delivered. */
   settle(): void {
     for (let i = 0; i < 2_000 && this.#packets.length > 0; i++) {
       this.#deliver(0, false);
@@ -154,7 +154,7 @@
     if (node.sets === undefined) {
       return;
     }
-    const attemptId = `a${String(this.#attempts++).padStart(3, "0")}`;
+    const attemptId = `a${String(this.#attemptCount++).padStart(3, "0")}`;
     this.#keys.set(attemptId, key);
     this.#apply(
       node,
@@ -171,7 +171,7 @@
     if (this.#mutation !== "one-vote-wins") {
       return set;
     }
-    const one = set.members[this.#attempts % set.members.length]!;
+    const one = set.members[this.#attemptCount % set.members.length]!;
     return { ...set, members: [one] };
   }
 
@@ -182,7 +182,7 @@
     }
     const bodyBase64 = this.#keys.get(attemptId)!;
     const answer = { status: 200, headers: [], bodyBase64 };
-    this.#apply(node, recordRun(node.claims, attemptId, answer));
+    this.#apply(node, recordRunOutcome(node.claims, attemptId, answer));
   }
 
   #apply(node: Node, step: ClaimStep): void {
@@ -194,7 +194,7 @@
     const { id, incarnation } = node;
     switch (effect.type) {
       case "AskPeer":
-        this.#packets.push({ from: id, incarnation, ask: effect });
+        this.#packets.push({ from: id, incarnation, request: effect });
         return;
       case "RunClaimed": {
         const key = this.#keys.get(effect.attemptId)!;
@@ -224,12 +224,12 @@
       this.#packets.splice(index, 1);
     }
     if (packet.reply === undefined) {
-      const reply = this.#answer(packet.ask);
+      const reply = this.#answerRequest(packet.request);
       this.#packets.push({ ...packet, reply });
       return;
     }
     const reply = packet.reply === "lost" ? undefined : packet.reply;
-    this.#takeReply(packet, reply);
+    this.#receiveReply(packet, reply);
   }
 
   #lose(pick: number): void {
@@ -240,7 +240,7 @@
     }
   }
 
-  #answer(ask: AskHolder): ClaimReply {
+  #answerRequest(ask: HolderRequest): ClaimReply {
     const node = this.nodes.find((one) => one.id === ask.address)!;
     const { message } = ask;
     if (message.type === "CheckClaim") {
@@ -248,57 +248,58 @@
       return { type: "ClaimChecked", phase };
     }
     const { incarnation, holder } = node;
-    const isAny = this.#mutation === "any-epoch" && message.type === "ClaimKey";
-    const taken = isAny
-      ? { ...message, epoch: holder.voiceEpoch, incarnation }
+    const ignoresEpoch = this.#mutation === "any-epoch" &&
+      message.type === "ClaimKey";
+    const received = ignoresEpoch
+      ? { ...message, epoch: holder.votingEpoch, incarnation }
       : message;
-    const given = isAny ? { ...holder, sealedEpoch: 0 } : holder;
-    const { state, reply } = answerHolder(given, taken, {
+    const checkedHolder = ignoresEpoch ? { ...holder, sealedEpoch: 0 } : holder;
+    const { state, reply } = answerHolder(checkedHolder, received, {
       incarnation,
       nowMs: 0,
     });
-    const { sealedEpoch } = isAny ? holder : state;
+    const { sealedEpoch } = ignoresEpoch ? holder : state;
     node.holder = { ...state, sealedEpoch };
     return reply;
   }
 
-  #takeReply(packet: Packet, reply: ClaimReply | undefined): void {
+  #receiveReply(packet: Packet, reply: ClaimReply | undefined): void {
     const node = this.nodes.find((one) => one.id === packet.from)!;
     if (node.incarnation !== packet.incarnation) {
       return;
     }
-    const { requestId } = packet.ask;
+    const { requestId } = packet.request;
     if (isCopyReply(requestId)) {
-      this.#hold(node, takePage(node.holder, requestId, reply));
+      this.#applyHolderStep(node, receivePage(node.holder, requestId, reply));
       return;
     }
-    this.#apply(node, takeClaimReply(node.claims, requestId, reply));
+    this.#apply(node, receiveClaimReply(node.claims, requestId, reply));
   }
 
-  #tell(node: Node): void {
+  #notify(node: Node): void {
     node.sets = this.#sets;
-    this.#follow(node);
+    this.#applySets(node);
   }
 
-  #follow(node: Node): void {
+  #applySets(node: Node): void {
     if (node.sets === undefined) {
       return;
     }
     const { id: nodeId, incarnation } = node;
-    const step = followSets(node.holder, node.sets, { nodeId, incarnation });
+    const step = applySets(node.holder, node.sets, { nodeId, incarnation });
     const epoch = step.state.copying?.epoch;
     if (this.#mutation === "copy-nothing" && epoch !== undefined) {
-      const state = { ...step.state, voiceEpoch: epoch, copying: undefined };
-      this.#hold(node, { state, asks: [], copiedEpoch: epoch });
+      const state = { ...step.state, votingEpoch: epoch, copying: undefined };
+      this.#applyHolderStep(node, { state, requests: [], copiedEpoch: epoch });
       return;
     }
-    this.#hold(node, step);
+    this.#applyHolderStep(node, step);
   }
 
-  #hold(node: Node, step: HolderStep): void {
+  #applyHolderStep(node: Node, step: HolderStep): void {
     const { id: nodeId, incarnation } = node;
     node.holder = step.state;
-    step.asks.forEach((ask) => this.#perform(node, ask));
+    step.requests.forEach((ask) => this.#perform(node, ask));
     if (step.copiedEpoch !== undefined) {
       this.#sets = applyHolderCommand(this.#sets, {
         type: "HolderCopied",
@@ -310,7 +311,7 @@
     }
   }
 
-  #plan(): void {
+  #proposeHolders(): void {
     const members = planHolders(
       this.#sets,
       this.nodes.map(({ id, incarnation, isDraining }) => ({
@@ -333,12 +334,12 @@
   }
 
   #restart(node: Node): void {
-    const { voiceEpoch } = node.holder;
+    const { votingEpoch } = node.holder;
     Object.assign(node, createNode(node.id, node.incarnation + 1));
-    this.#plan();
+    this.#proposeHolders();
     if (this.#mutation === "restarted-holder-votes") {
       node.incarnation -= 1;
-      node.holder = { ...INITIAL_HOLDER, voiceEpoch };
+      node.holder = { ...INITIAL_HOLDER_STATE, votingEpoch };
     }
   }
 }
@@ -347,8 +348,8 @@
   return {
     id,
     incarnation,
-    holder: INITIAL_HOLDER,
-    claims: INITIAL_CLAIMS,
+    holder: INITIAL_HOLDER_STATE,
+    claims: INITIAL_CLAIM_STATE,
     sets: undefined,
     running: [],
     isDraining: false,
--- a/src/engine/claims/test/holder_test.ts
+++ b/src/engine/claims/test/holder_test.ts
@@ -1,12 +1,12 @@
-/** Holders: who is chosen, what is kept, and what is refused. */
+/** Selection of holders, and the records that a holder stores or refuses. */
 import { expect } from "chai";
 import type { ClaimReply } from "../common/claim_messages.ts";
 import { KEY_LIFETIME_MS } from "../common/claim_types.ts";
 import type { StoredAnswer } from "../common/claim_types.ts";
 import {
   answerHolder,
-  evictExpired,
-  INITIAL_HOLDER,
+  evictExpiredRecords,
+  INITIAL_HOLDER_STATE,
 } from "../common/holder_reducer.ts";
 import type { HolderState } from "../common/holder_reducer.ts";
 import {
@@ -17,8 +17,8 @@
   Candidate,
   ServiceHolders,
 } from "../common/holder_set_reducer.ts";
-import { INITIAL_NODE_CLAIMS, takeSets } from "../common/node_claims.ts";
-import { BUCKETS } from "../common/record_map.ts";
+import { INITIAL_NODE_CLAIMS, receiveSets } from "../common/node_claims.ts";
+import { BUCKET_COUNT } from "../common/record_map.ts";
 
 const SERVICE = "custody";
 const ANSWER: StoredAnswer = {
@@ -80,10 +80,10 @@
     const first = propose(undefined, nodes)!;
     const [lost, ...staying] = first.active.members;
     for (const change of [{ incarnation: 2 }, { isDraining: true }]) {
-      const now = nodes.map((node) =>
+      const changedNodes = nodes.map((node) =>
         node.nodeId === lost!.nodeId ? { ...node, ...change } : node
       );
-      const { members } = propose(first, now)!.proposed!;
+      const { members } = propose(first, changedNodes)!.proposed!;
       expect(members).to.include.deep.members(staying);
       expect(members).to.not.deep.include(lost);
       expect(members).to.have.length(3);
@@ -93,13 +93,13 @@
 
   it("never shrink", () => {
     const first = propose(undefined, nodes)!;
-    const left = nodes.filter((node) =>
+    const remaining = nodes.filter((node) =>
       node.nodeId === first.active.members[0]!.nodeId
     );
-    expect(propose(first, left)).to.equal(first);
+    expect(propose(first, remaining)).to.equal(first);
   });
 
-  it("don't change by a plan that was made from other ones", () => {
+  it("don't change by a plan made from outdated sets", () => {
     const first = propose(undefined, nodes)!;
     const { members } = first.active;
     for (const fromEpoch of [0, 2]) {
@@ -111,35 +111,38 @@
 
   it("take over only after a majority has copied", () => {
     const first = propose(undefined, nodes)!;
-    const gone = first.active.members[0]!.nodeId;
-    const moving = propose(first, nodes.filter((n) => n.nodeId !== gone))!;
-    const [a, b] = moving.proposed!.members.map((member) => member.nodeId);
-    const twice = reportCopied(reportCopied(moving, a!), a!);
+    const lostNodeId = first.active.members[0]!.nodeId;
+    const changing = propose(
+      first,
+      nodes.filter((n) => n.nodeId !== lostNodeId),
+    )!;
+    const [a, b] = changing.proposed!.members.map((member) => member.nodeId);
+    const twice = reportCopied(reportCopied(changing, a!), a!);
     expect(twice.active).to.equal(first.active);
     expect(reportCopied(twice, b!, 2).active).to.equal(first.active);
-    const moved = reportCopied(twice, b!);
-    expect(moved.active).to.equal(moving.proposed);
-    expect(moved.proposed).to.equal(undefined);
+    const changed = reportCopied(twice, b!);
+    expect(changed.active).to.equal(changing.proposed);
+    expect(changed.proposed).to.equal(undefined);
   });
 });
 
 describe("holder sets at a node", () => {
-  it("are passed over where they are older than those known", () => {
+  it("are ignored if they are older than those known", () => {
     const nodes = [0, 1, 2, 3, 4].map((index) => createNode(index));
     const first = propose(undefined, nodes)!;
     const second = propose(first, nodes.slice(1))!;
     const third = propose(second, nodes.slice(2))!;
     expect(third.proposed!.epoch).to.be.greaterThan(second.proposed!.epoch);
     const self = { nodeId: "apart", incarnation: 1, ingress: "apart" };
-    const known = takeSets(INITIAL_NODE_CLAIMS, third, self).state;
+    const known = receiveSets(INITIAL_NODE_CLAIMS, third, self).state;
     for (const older of [second, first]) {
-      expect(takeSets(known, older, self).state).to.equal(known);
+      expect(receiveSets(known, older, self).state).to.equal(known);
     }
   });
 });
 
 describe("holder", () => {
-  const voiced: HolderState = { ...INITIAL_HOLDER, voiceEpoch: 1 };
+  const votingHolder: HolderState = { ...INITIAL_HOLDER_STATE, votingEpoch: 1 };
 
   function claim(
     state: HolderState,
@@ -165,8 +168,8 @@
     }, { incarnation: 1, nowMs: 0 }).state;
   }
 
-  it("refuses new keys when it is full, and forgets none that lives", () => {
-    let state = voiced;
+  it("refuses new keys when it is full, and evicts no unexpired one", () => {
+    let state = votingHolder;
     const keys = Array.from({ length: 250 }, (_, i) => `k${i}`);
     for (const key of keys) {
       state = record(state, key);
@@ -179,16 +182,16 @@
       expect(claim(state, key).reply.type).to.equal("ClaimHeld");
     }
     let evicted = state;
-    for (let bucket = 0; bucket < BUCKETS; bucket++) {
-      evicted = evictExpired(evicted, bucket, KEY_LIFETIME_MS);
+    for (let bucket = 0; bucket < BUCKET_COUNT; bucket++) {
+      evicted = evictExpiredRecords(evicted, bucket, KEY_LIFETIME_MS);
     }
     expect(evicted.records).to.deep.include({ count: 0, sizeBytes: 0 });
   });
 
-  it("has no voice when it is empty, and none after it is sealed", () => {
+  it("grants nothing in an epoch without a copy, nor after sealing it", () => {
     const refused = { type: "ClaimRefused", reason: "epoch" };
-    expect(claim(INITIAL_HOLDER, "k").reply).to.deep.equal(refused);
-    const sealed = answerHolder(voiced, {
+    expect(claim(INITIAL_HOLDER_STATE, "k").reply).to.deep.equal(refused);
+    const sealed = answerHolder(votingHolder, {
       type: "SealEpoch",
       epoch: 1,
       incarnation: 1,
@@ -199,15 +202,15 @@
   });
 
   it("grants a key again only once its record has expired", () => {
-    const { state } = claim(voiced, "k");
+    const { state } = claim(votingHolder, "k");
     const before = claim(state, "k", KEY_LIFETIME_MS - 1);
     expect(before.reply.type).to.equal("ClaimHeld");
     const after = claim(state, "k", KEY_LIFETIME_MS);
     expect(after.reply.type).to.equal("ClaimGranted");
   });
 
-  it("never lets a release undo what has run", () => {
-    const released = answerHolder(record(voiced, "k"), {
+  it("keeps the record of a run when its claim is released", () => {
+    const released = answerHolder(record(votingHolder, "k"), {
       type: "ReleaseClaim",
       key: "k",
       attemptId: "a",
--- a/src/engine/control/common/holder_planning.ts
+++ b/src/engine/control/common/holder_planning.ts
@@ -1,6 +1,6 @@
 /** What the leader proposes for the holder sets, from presence as it sees it. */
 import {
-  hasHolders,
+  hasAllHolders,
   planHolders,
 } from "../../claims/common/holder_set_reducer.ts";
 import type { HolderCommand } from "../../claims/common/holder_set_reducer.ts";
@@ -22,7 +22,7 @@
     const members = planHolders(current, nodes, service);
     const staying = (current?.proposed ?? current?.active)?.members ?? [];
     const isAllowed = members !== undefined &&
-      (control.isWarm || hasHolders(members, staying));
+      (control.isWarm || hasAllHolders(members, staying));
     const fromEpoch = current?.lastEpoch ?? 0;
     return isAllowed
       ? [{ type: "HolderSetProposed", service, members, fromEpoch }]
--- a/src/engine/control/test/holder_nodes.ts
+++ b/src/engine/control/test/holder_nodes.ts
@@ -3,8 +3,8 @@
 import {
   answerClaimMessage,
   INITIAL_NODE_CLAIMS,
-  takeReply,
-  takeSets,
+  receiveReply,
+  receiveSets,
   tickClaims,
 } from "../../claims/common/node_claims.ts";
 import type {
@@ -107,7 +107,7 @@
     );
     if (node !== undefined) {
       const { claims } = node;
-      this.#apply(node, takeSets(claims, message.sets, createSelf(node)));
+      this.#apply(node, receiveSets(claims, message.sets, createSelf(node)));
     }
   }
 
@@ -129,7 +129,7 @@
           answerClaimMessage(asked.claims, effect.message, at);
         Object.assign(asked ?? {}, { claims: answer?.claims });
         const { requestId } = effect;
-        this.#apply(node, takeReply(node.claims, requestId, answer?.reply));
+        this.#apply(node, receiveReply(node.claims, requestId, answer?.reply));
       }
     }
   }
