--- a/src/engine/control/common/replicated_codec.ts
+++ b/src/engine/control/common/replicated_codec.ts
@@ -1,8 +1,8 @@
 /** The replicated commands and their state as bytes, with older formats. */
 import type { HolderCommand } from "../../claims/common/holder_set_reducer.ts";
 import {
-  createEncodedState,
-  readEncodedState,
+  decodeTableState,
+  encodeTableState,
 } from "../../table/common/table_codec.ts";
 import type { EncodedTableState } from "../../table/common/table_codec.ts";
 import { INITIAL_TABLE_STATE } from "../../table/common/table_reducer.ts";
@@ -57,7 +57,7 @@
 export function encodeReplicated(state: ReplicatedState): Uint8Array {
   const encoded: EncodedState = {
     format: FORMAT,
-    table: createEncodedState(state.tableState),
+    table: encodeTableState(state.tableState),
     holders: [...state.holders],
   };
   return encodeJson(encoded);
@@ -71,10 +71,10 @@
   const decoded = decodeJson(bytes) as EncodedState | EncodedTableState;
   return "format" in decoded
     ? {
-      tableState: readEncodedState(decoded.table),
+      tableState: decodeTableState(decoded.table),
       holders: new Map(decoded.holders),
     }
-    : { tableState: readEncodedState(decoded), holders: new Map() };
+    : { tableState: decodeTableState(decoded), holders: new Map() };
 }
 
 function encodeJson(value: unknown): Uint8Array {
--- a/src/engine/table/common/column_reference.ts
+++ b/src/engine/table/common/column_reference.ts
@@ -1,7 +1,7 @@
-/** What each column of the table means, for operators. */
+/** Reference of the table's columns, for operators. */
 import type { TableColumn } from "./table_row.ts";
 
-/** One column. */
+/** Description of a column; the texts appear in the operators' reference. */
 export interface ColumnReference {
   readonly column: TableColumn;
   readonly allowed: string;
@@ -9,7 +9,7 @@
   readonly example: string;
 }
 
-/** All columns, in the order of the CSV file. */
+/** All columns, in the order of the CSV form. */
 export const COLUMN_REFERENCE: readonly ColumnReference[] = [
   {
     column: "kind",
--- a/src/engine/table/common/table_csv.ts
+++ b/src/engine/table/common/table_csv.ts
@@ -1,4 +1,4 @@
-/** The table as CSV, the form that operators edit. */
+/** Conversion of the table to and from CSV, the form that operators edit. */
 import { parse } from "csv-parse/sync";
 import { stringify } from "csv-stringify/sync";
 import { err, ok, type Result } from "neverthrow";
@@ -9,35 +9,35 @@
 
 const MAX_FILE_BYTES = 4 * 1024 * 1024;
 
-/** Writes a table as CSV with a header line. */
+/** Formats a table as CSV with a header line. */
 export function formatTableCsv(table: Table): string {
   const rows = table.rows.map((row) => formatRow(row, row.version));
   return stringify(rows, { header: true, columns: [...TABLE_COLUMNS] });
 }
 
-/** Reads a whole file; all its bad cells are returned, none is applied. */
+/** Parses a whole file; returns all its rows, or all its invalid cells. */
 export function parseTableCsv(
   text: string,
 ): Result<readonly DraftRow[], readonly BadCell[]> {
-  return readLines(text).andThen((lines) => {
-    const bad: BadCell[] = [];
+  return parseLines(text).andThen((lines) => {
+    const badCells: BadCell[] = [];
     const drafts: DraftRow[] = [];
     lines.forEach((cells, index) => {
       parseRow(cells, index + 2).match(
         (draft) => drafts.push(draft),
-        (cells) => bad.push(...cells),
+        (cells) => badCells.push(...cells),
       );
     });
-    bad.push(...findDuplicates(drafts));
-    return bad.length > 0 ? err(bad) : ok(drafts);
+    badCells.push(...findDuplicates(drafts));
+    return badCells.length > 0 ? err(badCells) : ok(drafts);
   });
 }
 
-function readLines(
+function parseLines(
   text: string,
 ): Result<readonly RowCells[], readonly BadCell[]> {
   if (text.length > MAX_FILE_BYTES) {
-    return err([createFileError(1, `File is over ${MAX_FILE_BYTES} bytes`)]);
+    return err([createFileIssue(1, `File is over ${MAX_FILE_BYTES} bytes`)]);
   }
   try {
     const [header, ...lines] = parse(text, {
@@ -47,7 +47,7 @@
       relax_column_count: true,
     }) as string[][];
     return checkHeader(header ?? [])
-      .andThen(() => checkLengths(header!, lines))
+      .andThen(() => checkCellCounts(header!, lines))
       .map(() =>
         lines.map((line) =>
           Object.fromEntries(header!.map((name, i) => [name, line[i]]))
@@ -55,7 +55,7 @@
       );
   } catch (error) {
     const lines = (error as { lines?: number }).lines ?? 1;
-    return err([createFileError(lines, (error as Error).message)]);
+    return err([createFileIssue(lines, (error as Error).message)]);
   }
 }
 
@@ -66,7 +66,7 @@
   const bad: BadCell[] = [];
   for (const name of header) {
     if (!known.includes(name)) {
-      bad.push(createFileError(1, `Unknown column ${JSON.stringify(name)}`));
+      bad.push(createFileIssue(1, `Unknown column ${JSON.stringify(name)}`));
     }
   }
   for (const name of TABLE_COLUMNS) {
@@ -81,7 +81,7 @@
   return bad.length > 0 ? err(bad) : ok(undefined);
 }
 
-function checkLengths(
+function checkCellCounts(
   header: readonly string[],
   lines: readonly (readonly string[])[],
 ): Result<void, readonly BadCell[]> {
@@ -89,21 +89,21 @@
   lines.forEach((line, index) => {
     if (line.length !== header.length) {
       const reason = `Expected ${header.length} cells; found ${line.length}`;
-      bad.push(createFileError(index + 2, reason));
+      bad.push(createFileIssue(index + 2, reason));
     }
   });
   return bad.length > 0 ? err(bad) : ok(undefined);
 }
 
 function findDuplicates(drafts: readonly DraftRow[]): readonly BadCell[] {
-  const lineOfKind = new Map<string, number>();
-  const lineOfRoute = new Map<string, number>();
+  const lineByKind = new Map<string, number>();
+  const lineByRoute = new Map<string, number>();
   const bad: BadCell[] = [];
   drafts.forEach(({ row }, index) => {
     const line = index + 2;
     const route = `${row.method} ${row.path}`;
-    const first = lineOfKind.get(row.kind);
-    const sameRoute = lineOfRoute.get(route);
+    const first = lineByKind.get(row.kind);
+    const sameRoute = lineByRoute.get(route);
     if (first !== undefined) {
       const reason = `Kind ${row.kind} already stands in line ${first}`;
       bad.push({ line, column: "kind", reason });
@@ -111,12 +111,12 @@
       const reason = `${route} already stands in line ${sameRoute}`;
       bad.push({ line, column: "path", reason });
     }
-    lineOfKind.set(row.kind, first ?? line);
-    lineOfRoute.set(route, sameRoute ?? line);
+    lineByKind.set(row.kind, first ?? line);
+    lineByRoute.set(route, sameRoute ?? line);
   });
   return bad;
 }
 
-function createFileError(line: number, reason: string): BadCell {
+function createFileIssue(line: number, reason: string): BadCell {
   return { line, column: "file", reason };
 }
--- a/src/engine/table/common/table_delta.ts
+++ b/src/engine/table/common/table_delta.ts
@@ -1,24 +1,24 @@
-/** What changed between two versions of the table. */
+/** Difference between two versions of the table. */
 import type { Table, VersionedRow } from "./table_row.ts";
 
 /** Turns the table at `fromVersion` into the one at `toVersion`. */
 export interface TableDelta {
   readonly fromVersion: number;
   readonly toVersion: number;
-  /** Rows that are new or changed: in place, else at the end in this order. */
+  /** New or changed rows: replaced in place, or appended in this order. */
   readonly put: readonly VersionedRow[];
-  /** Kinds that are taken out before the rows are put. */
+  /** Kinds whose rows are removed before `put` is applied. */
   readonly removed: readonly string[];
 }
 
-/** Creates the delta that leads from one table to another, order included. */
+/** Creates the delta from one table to another, including the order of rows. */
 export function createTableDelta(from: Table, to: Table): TableDelta {
-  const before = new Map(from.rows.map((row) => [row.kind, row]));
-  const keptCount = countKept(from, to);
+  const previousRows = new Map(from.rows.map((row) => [row.kind, row]));
+  const keptCount = countKeptRows(from, to);
   const kept = to.rows.slice(0, keptCount);
   const keptKinds = new Set(kept.map((row) => row.kind));
   const changed = kept.filter((row) =>
-    before.get(row.kind)!.version !== row.version
+    previousRows.get(row.kind)!.version !== row.version
   );
   return {
     fromVersion: from.version,
@@ -29,7 +29,7 @@
   };
 }
 
-/** Applies a delta; undefined where `table` isn't at its `fromVersion`. */
+/** Applies a delta; undefined if `table` isn't at its `fromVersion`. */
 export function applyTableDelta(
   table: Table,
   delta: TableDelta,
@@ -49,13 +49,13 @@
   return { version: delta.toVersion, rows: [...rows, ...put.values()] };
 }
 
-/** Length of the head of `to` whose rows stand in `from` in the same order. */
-function countKept(from: Table, to: Table): number {
-  const position = new Map(from.rows.map((row, index) => [row.kind, index]));
+/** Counts the leading rows of `to` that occur in `from` in the same order. */
+function countKeptRows(from: Table, to: Table): number {
+  const indexByKind = new Map(from.rows.map((row, index) => [row.kind, index]));
   let last = -1;
   let count = 0;
   for (const row of to.rows) {
-    const index = position.get(row.kind);
+    const index = indexByKind.get(row.kind);
     if (index === undefined || index < last) {
       break;
     }
--- a/src/engine/table/common/table_match.ts
+++ b/src/engine/table/common/table_match.ts
@@ -1,69 +1,69 @@
-/** Finds the row of a request by its method and path. */
+/** Selection of the row for a request, by method and path. */
 import type { Table, VersionedRow } from "./table_row.ts";
 
-/** Which request a row is wanted for. */
+/** Method and path of the request to match. */
 export interface RequestLine {
   readonly method: string;
-  /** Path without the query. */
+  /** Path without the query string. */
   readonly path: string;
 }
 
 /**
- * Selects the most specific row that matches: literal segments go before `*`,
- * `*` before `**`, a named method before any method.
+ * Selects the most specific row that matches: a literal segment precedes `*`,
+ * `*` precedes `**`, and a named method precedes any method.
  */
 export function selectRow(
   table: Table,
   request: RequestLine,
 ): VersionedRow | undefined {
   let best: VersionedRow | undefined;
-  let bestRank = "";
+  let bestSortKey = "";
   for (const row of table.rows) {
-    if (!isRowMatch(row, request)) {
+    if (!matchRow(row, request)) {
       continue;
     }
-    const rank = computeRank(row);
-    if (best === undefined || rank < bestRank) {
+    const sortKey = computeSortKey(row);
+    if (best === undefined || sortKey < bestSortKey) {
       best = row;
-      bestRank = rank;
+      bestSortKey = sortKey;
     }
   }
   return best;
 }
 
-function isRowMatch(row: VersionedRow, request: RequestLine): boolean {
+function matchRow(row: VersionedRow, request: RequestLine): boolean {
   return (row.method === "*" || row.method === request.method) &&
-    isPathMatch(row.path, request.path);
+    matchPath(row.path, request.path);
 }
 
-/** Walks both texts segment by segment, without copying them. */
-function isPathMatch(pattern: string, path: string): boolean {
-  let at = findSegment(pattern, 0);
-  let pathAt = findSegment(path, 0);
-  while (at < pattern.length) {
-    const end = findSlash(pattern, at);
-    const next = findSegment(pattern, end);
-    if (next === pattern.length && pattern.slice(at, end) === "**") {
+/** Compares pattern and path segment by segment, without splitting them. */
+function matchPath(pattern: string, path: string): boolean {
+  let patternAt = findSegmentStart(pattern, 0);
+  let pathAt = findSegmentStart(path, 0);
+  while (patternAt < pattern.length) {
+    const end = findSegmentEnd(pattern, patternAt);
+    const next = findSegmentStart(pattern, end);
+    if (next === pattern.length && pattern.slice(patternAt, end) === "**") {
       return true;
     }
-    const pathEnd = findSlash(path, pathAt);
+    const pathEnd = findSegmentEnd(path, pathAt);
     if (pathAt === pathEnd) {
       return false;
     }
-    const part = pattern.slice(at, end);
+    const part = pattern.slice(patternAt, end);
     const isSame = part.length === pathEnd - pathAt &&
       path.startsWith(part, pathAt);
     if (part !== "*" && !isSame) {
       return false;
     }
-    at = next;
-    pathAt = findSegment(path, pathEnd);
+    patternAt = next;
+    pathAt = findSegmentStart(path, pathEnd);
   }
   return pathAt === path.length;
 }
 
-/** Finds where the next segment begins; the length where there is none. */
-function findSegment(path: string, from: number): number {
+/** Returns the index of the next segment; the path's length if there is none. */
+function findSegmentStart(path: string, from: number): number {
   let at = from;
   while (path[at] === "/") {
     at += 1;
@@ -71,13 +71,13 @@
   return at;
 }
 
-function findSlash(path: string, from: number): number {
+function findSegmentEnd(path: string, from: number): number {
   const slash = path.indexOf("/", from);
   return slash < 0 ? path.length : slash;
 }
 
-/** One letter a segment, so that the smaller text is the closer match. */
-function computeRank(row: VersionedRow): string {
+/** Encodes a segment as one letter: the smallest key is the most specific. */
+function computeSortKey(row: VersionedRow): string {
   const letters = splitPath(row.path).map((part) =>
     part === "**" ? "z" : part === "*" ? "b" : "a"
   );
--- a/src/engine/table/common/table_reducer.ts
+++ b/src/engine/table/common/table_reducer.ts
@@ -1,4 +1,4 @@
-/** The replicated state machine of the table: compare-and-set edits. */
+/** Replicated state machine of the table, with compare-and-set edits. */
 import { EMPTY_DOCUMENT } from "../../routes/common/route_table.ts";
 import type { RouteDocument } from "../../routes/common/route_table.ts";
 import { isSameRow } from "./table_row.ts";
@@ -6,7 +6,7 @@
 import type { Table, TableRow, VersionedRow } from "./table_row.ts";
 import type { DraftRow } from "./table_schema.ts";
 
-/** Puts one row; `fromVersion` is what the operator saw (0: no such row). */
+/** Puts one row; `fromVersion` is the version the operator saw (0: no such row). */
 export interface PutRow extends DraftRow {
   readonly type: "PutRow";
 }
@@ -18,44 +18,48 @@
   readonly fromVersion: number;
 }
 
-/** Replaces all rows; what stands in none of them is removed. */
+/** Replaces all rows; rows of kinds that are not listed are removed. */
 export interface ReplaceRows {
   readonly type: "ReplaceRows";
   readonly rows: readonly DraftRow[];
 }
 
-/** Replaces the routes as a whole; `baseVersion` is what the operator saw. */
+/** Replaces all routes; `baseVersion` is the version that the operator saw. */
 export interface ReplaceRoutes {
   readonly type: "ReplaceRoutes";
   readonly baseVersion: number;
   readonly document: RouteDocument;
 }
 
-/** What an edit asks for. */
+/** The change that an edit requests. */
 export type TableChange = PutRow | RemoveRow | ReplaceRows | ReplaceRoutes;
 
 type RowChange = Exclude<TableChange, ReplaceRoutes>;
 
-/** One edit, as it is replicated. */
+/** One edit, as replicated. */
 export interface TableEdit {
-  /** Made by the client; a resend carries the same one. */
+  /** Chosen by the client; the same in each resend of the edit. */
   readonly editId: string;
   readonly operator: string;
-  /** Wall clock of the replica that took the edit, in milliseconds. */
+  /** Wall clock of the replica that received the edit, in milliseconds. */
   readonly atMs: number;
   readonly change: TableChange;
 }
 
-/** A row that was no longer at the version that the edit was made from. */
+/** A row that had changed since the version that the edit was based on. */
 export interface RowConflict {
   readonly kind: string;
   readonly fromVersion: number;
-  /** What stands now; undefined where the row is gone. */
+  /** The current row; undefined if it was removed. */
   readonly current: VersionedRow | undefined;
+  /** Operator of the latest edit of the row; "unknown" if not in the history. */
   readonly wonBy: string;
 }
 
-/** The answer to an edit, the same for every resend of it. */
+/**
+ * The answer to an edit. A resend gets the same answer, except that refused
+ * routes are checked again.
+ */
 export type EditOutcome =
   | { readonly type: "EditAccepted"; readonly version: number }
   | { readonly type: "EditUnchanged"; readonly version: number }
@@ -63,9 +67,9 @@
     readonly type: "EditConflicted";
     readonly conflicts: readonly RowConflict[];
   }
-  /** Routes were replaced since; `version` is the one that stands. */
+  /** The routes were replaced meanwhile; `version` is the current one. */
   | { readonly type: "RoutesConflicted"; readonly version: number }
-  /** The new routes' version is not above the one that stands. */
+  /** The new routes' version is not above `version`, the current one. */
   | { readonly type: "RoutesOutdated"; readonly version: number };
 
 /** One accepted edit in the history. */
@@ -85,13 +89,13 @@
   readonly history: readonly HistoryEntry[];
   /** First answers by edit id, oldest first, at most `MAX_ANSWERS`. */
   readonly answers: ReadonlyMap<string, EditOutcome>;
-  /** The routes in force, and the text that they were read from. */
+  /** The routes in force, and the text that they were parsed from. */
   readonly document: RouteDocument;
 }
 
-/** Accepted edits that the history keeps. */
+/** Maximum number of accepted edits in the history. */
 export const MAX_HISTORY = 2_000;
-/** Edit ids whose first answer is kept for resends. */
+/** Maximum number of edit ids whose first answer is retained for resends. */
 export const MAX_ANSWERS = 20_000;
 
 /** The state before any edit. */
@@ -102,7 +106,8 @@
   document: EMPTY_DOCUMENT,
 };
 
-interface Plan {
+/** The effects of a change on the rows; applied only without conflicts. */
+interface EditPlan {
   readonly put: readonly TableRow[];
   readonly removed: readonly string[];
   readonly conflicts: readonly RowConflict[];
@@ -113,17 +118,19 @@
   state: TableState,
   edit: TableEdit,
 ): { readonly state: TableState; readonly outcome: EditOutcome } {
-  const known = state.answers.get(edit.editId);
+  const firstOutcome = state.answers.get(edit.editId);
   const { change } = edit;
-  if (change.type === "ReplaceRoutes" && known?.type !== "EditAccepted") {
+  if (
+    change.type === "ReplaceRoutes" && firstOutcome?.type !== "EditAccepted"
+  ) {
     return replaceRoutes(state, edit.editId, change);
   }
-  if (known !== undefined || change.type === "ReplaceRoutes") {
-    return { state, outcome: known! };
+  if (firstOutcome !== undefined || change.type === "ReplaceRoutes") {
+    return { state, outcome: firstOutcome! };
   }
   const plan = createPlan(state, change);
   const outcome = decideOutcome(state, plan);
-  const answers = rememberAnswer(state.answers, edit.editId, outcome);
+  const answers = recordAnswer(state.answers, edit.editId, outcome);
   if (outcome.type !== "EditAccepted") {
     return { state: { ...state, answers }, outcome };
   }
@@ -140,14 +147,14 @@
   return { state: { ...state, table, history, answers }, outcome };
 }
 
-/** A replacement that was refused is decided anew when it comes again. */
+/** Replaces the routes; a refused replacement is checked again when resent. */
 function replaceRoutes(
   state: TableState,
   editId: string,
   change: ReplaceRoutes,
 ): { readonly state: TableState; readonly outcome: EditOutcome } {
   const outcome = decideReplacement(state, change);
-  const answers = rememberAnswer(state.answers, editId, outcome);
+  const answers = recordAnswer(state.answers, editId, outcome);
   const document = outcome.type === "EditAccepted"
     ? change.document
     : state.document;
@@ -168,7 +175,7 @@
     : { type: "EditAccepted", version };
 }
 
-function createPlan(state: TableState, change: RowChange): Plan {
+function createPlan(state: TableState, change: RowChange): EditPlan {
   switch (change.type) {
     case "PutRow":
       return mergePlans([planPut(state, change)]);
@@ -179,7 +186,7 @@
   }
 }
 
-function planPut(state: TableState, draft: DraftRow): Plan {
+function planPut(state: TableState, draft: DraftRow): EditPlan {
   const { row, fromVersion } = draft;
   const current = findRow(state.table, row.kind);
   if (current !== undefined && isSameRow(current, row)) {
@@ -196,7 +203,7 @@
   state: TableState,
   kind: string,
   fromVersion: number,
-): Plan {
+): EditPlan {
   const current = findRow(state.table, kind);
   if (current?.version !== fromVersion) {
     const conflict = createConflict(state, kind, fromVersion);
@@ -206,23 +213,29 @@
 }
 
 /**
- * A row that the file leaves out is removed if the file can have seen it, that
- * is if it is no newer than the newest row in the file; else it is a conflict.
+ * Plans the replacement of all rows. An absent row is removed if it is no newer
+ * than the newest row in the file, as the operator may have deleted it; a newer
+ * one is a conflict.
  */
-function planReplace(state: TableState, drafts: readonly DraftRow[]): Plan {
-  const seen = drafts.reduce((max, d) => Math.max(max, d.fromVersion), 0);
+function planReplace(state: TableState, drafts: readonly DraftRow[]): EditPlan {
+  const newestSeenVersion = drafts.reduce(
+    (max, d) => Math.max(max, d.fromVersion),
+    0,
+  );
   const kinds = new Set(drafts.map((draft) => draft.row.kind));
   const plans = drafts.map((draft) => planPut(state, draft));
   for (const row of state.table.rows) {
     if (!kinds.has(row.kind)) {
-      const fromVersion = row.version <= seen ? row.version : seen;
+      const fromVersion = row.version <= newestSeenVersion
+        ? row.version
+        : newestSeenVersion;
       plans.push(planRemove(state, row.kind, fromVersion));
     }
   }
   return mergePlans(plans);
 }
 
-function mergePlans(plans: readonly Plan[]): Plan {
+function mergePlans(plans: readonly EditPlan[]): EditPlan {
   return {
     put: plans.flatMap((plan) => plan.put),
     removed: plans.flatMap((plan) => plan.removed),
@@ -230,7 +243,7 @@
   };
 }
 
-function decideOutcome(state: TableState, plan: Plan): EditOutcome {
+function decideOutcome(state: TableState, plan: EditPlan): EditOutcome {
   const { version } = state.table;
   if (plan.conflicts.length > 0) {
     return { type: "EditConflicted", conflicts: plan.conflicts };
@@ -241,7 +254,7 @@
   return { type: "EditAccepted", version: version + 1 };
 }
 
-function applyPlan(table: Table, plan: Plan, version: number): Table {
+function applyPlan(table: Table, plan: EditPlan, version: number): Table {
   const put = new Map(plan.put.map((row) => [row.kind, row]));
   const removed = new Set(plan.removed);
   const rows: VersionedRow[] = [];
@@ -260,7 +273,7 @@
   return { version, rows };
 }
 
-function rememberAnswer(
+function recordAnswer(
   answers: ReadonlyMap<string, EditOutcome>,
   editId: string,
   outcome: EditOutcome,
--- a/src/engine/table/common/table_row.ts
+++ b/src/engine/table/common/table_row.ts
@@ -1,9 +1,9 @@
-/** The rows of the operators' table. */
+/** Data types of the operators' table. */
 
-/** What a row asks of the idempotency key of a request. */
+/** Whether requests of a kind may or must have an idempotency key. */
 export type KeyRule = "none" | "optional" | "required";
 
-/** One kind of request: how it is matched, weighed and limited. */
+/** One kind of request: its matching rule, priority and limits. */
 export interface TableRow {
   /** Name of the kind; unique in the table. */
   readonly kind: string;
@@ -11,36 +11,36 @@
   readonly service: string;
   /** HTTP method in capitals, or `*`. */
   readonly method: string;
-  /** Path pattern: `*` is one segment, a last `**` is any rest. */
+  /** Path pattern: `*` matches one segment, a final `**` any remaining ones. */
   readonly path: string;
-  /** Share among the kinds of one importance; above 0. */
+  /** Relative share of capacity among kinds of the same importance; above 0. */
   readonly weight: number;
-  /** 0 (first refused) to 9 (last refused). */
+  /** 0 (refused first) to 9 (refused last). */
   readonly importance: number;
-  /** Most requests of the kind in progress at one backend server. */
+  /** Maximum number of running requests of the kind at one backend server. */
   readonly concurrency: number;
-  /** Most requests of the kind a second at one backend server. */
+  /** Maximum rate of the kind at one backend server, in requests per second. */
   readonly rate: number;
-  /** Most requests of the kind waiting at one backend server. */
+  /** Maximum number of queued requests of the kind at one backend server. */
   readonly queue: number;
-  /** Time a root request may take, in milliseconds. */
+  /** Timeout of a root request, including all calls made for it. */
   readonly timeoutMs: number;
-  /** Retries over the whole call tree of one root request. */
+  /** Maximum number of retries in the call tree of one root request. */
   readonly retries: number;
-  /** Whether running it twice does no harm. */
+  /** Whether a request may safely run more than once. */
   readonly idempotent: boolean;
-  /** Whether requests carry an `Idempotency-Key`. */
+  /** Whether requests have an `Idempotency-Key` header. */
   readonly key: KeyRule;
-  /** Largest request body, in bytes. */
+  /** Maximum size of a request body. */
   readonly maxBodyBytes: number;
 }
 
-/** A row and the table version that wrote it last. */
+/** A row, and the table version that last changed it. */
 export interface VersionedRow extends TableRow {
   readonly version: number;
 }
 
-/** The table as nodes hold it. */
+/** The table, as sent to the nodes. */
 export interface Table {
   /** Grows by one with every accepted edit; 0 is the empty table. */
   readonly version: number;
@@ -50,7 +50,7 @@
 /** The table before any edit. */
 export const EMPTY_TABLE: Table = { version: 0, rows: [] };
 
-/** The columns of the CSV form, in order; `version` comes last. */
+/** The columns of the CSV form, in order. */
 export const TABLE_COLUMNS = [
   "kind",
   "service",
@@ -69,10 +69,9 @@
   "version",
 ] as const;
 
-/** The name of one column. */
 export type TableColumn = typeof TABLE_COLUMNS[number];
 
-/** Whether two rows say the same, whatever their versions. */
+/** Whether two rows are equal, ignoring their versions. */
 export function isSameRow(a: TableRow, b: TableRow): boolean {
   return a.kind === b.kind && a.service === b.service &&
     a.method === b.method && a.path === b.path && a.weight === b.weight &&
--- a/src/engine/table/common/table_schema.ts
+++ b/src/engine/table/common/table_schema.ts
@@ -1,10 +1,10 @@
-/** What each cell of the table may hold, and where a bad one stands. */
+/** Validation of the table's cells, and the position of invalid ones. */
 import * as v from "valibot";
 import { err, ok, type Result } from "neverthrow";
 import { TABLE_COLUMNS, type TableColumn } from "./table_row.ts";
 import type { TableRow } from "./table_row.ts";
 
-/** A cell that the table can't take. */
+/** An invalid cell; `file` if the whole line or file is invalid. */
 export interface BadCell {
   /** Line of the file; the header is line 1. */
   readonly line: number;
@@ -12,29 +12,29 @@
   readonly reason: string;
 }
 
-/** Cells of one line by column name. */
+/** The cells of one line, by column name. */
 export type RowCells = Readonly<Record<string, string | undefined>>;
 
-/** A row and the version that the operator saw of it (0: a new row). */
+/** A row, and the version of it that the operator saw (0: a new row). */
 export interface DraftRow {
   readonly row: TableRow;
   readonly fromVersion: number;
 }
 
 const METHODS = ["*", "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"] as const;
-const NAME = /^[a-z][a-z0-9_-]{0,63}$/;
-const PATH = /^(\/(\*|[A-Za-z0-9._~%@:+-]+))*(\/|\/\*\*)?$/;
+const NAME_PATTERN = /^[a-z][a-z0-9_-]{0,63}$/;
+const PATH_PATTERN = /^(\/(\*|[A-Za-z0-9._~%@:+-]+))*(\/|\/\*\*)?$/;
 const MAX_PATH_LENGTH = 256;
 
-function createNumberCell(min: number, max: number, whole: boolean) {
+function createNumberCell(min: number, max: number, isInteger: boolean) {
   const range = `${min} to ${max}`;
-  const noun = whole ? "whole number" : "number";
+  const noun = isInteger ? "whole number" : "number";
   return v.pipe(
     v.string(),
     v.regex(/^-?\d+(\.\d+)?$/, `Expected a ${noun} from ${range}`),
     v.transform(Number),
     v.check(
-      (n) => n >= min && n <= max && (!whole || Number.isInteger(n)),
+      (n) => n >= min && n <= max && (!isInteger || Number.isInteger(n)),
       `Expected a ${noun} from ${range}`,
     ),
   );
@@ -42,7 +42,10 @@
 
 function createNameCell(noun: string) {
   const rule = "lower-case letters, digits, - or _, first a letter, at most 64";
-  return v.pipe(v.string(), v.regex(NAME, `Expected a ${noun}: ${rule}`));
+  return v.pipe(
+    v.string(),
+    v.regex(NAME_PATTERN, `Expected a ${noun}: ${rule}`),
+  );
 }
 
 const ROW_CELLS = v.object({
@@ -53,7 +56,10 @@
     v.string(),
     v.maxLength(MAX_PATH_LENGTH, `Expected at most ${MAX_PATH_LENGTH} bytes`),
     v.regex(/^\//, "Expected a path that begins with /"),
-    v.regex(PATH, "Expected a path pattern like /bales/* or /photos/**"),
+    v.regex(
+      PATH_PATTERN,
+      "Expected a path pattern like /bales/* or /photos/**",
+    ),
   ),
   weight: createNumberCell(0.01, 1000, false),
   importance: createNumberCell(0, 9, true),
@@ -71,7 +77,7 @@
   version: createNumberCell(0, Number.MAX_SAFE_INTEGER, true),
 });
 
-/** Checks the cells of one line; an empty `version` is a new row. */
+/** Validates the cells of one line; an empty `version` means a new row. */
 export function parseRow(
   cells: RowCells,
   line: number,
@@ -103,7 +109,7 @@
   });
 }
 
-/** Writes a row as cells by column name, the reverse of `parseRow`. */
+/** Formats a row as cells by column name; the reverse of `parseRow`. */
 export function formatRow(
   row: TableRow,
   version: number,
@@ -133,8 +139,8 @@
 ): BadCell {
   const name = String(issue.path?.[0]?.key ?? "file");
   const column = TABLE_COLUMNS.find((known) => known === name) ?? "file";
-  const found = issue.input === undefined
+  const received = issue.input === undefined
     ? "nothing"
     : JSON.stringify(issue.input);
-  return { line, column, reason: `${issue.message}; found ${found}` };
+  return { line, column, reason: `${issue.message}; found ${received}` };
 }
--- a/src/engine/table/test/table_csv_test.ts
+++ b/src/engine/table/test/table_csv_test.ts
@@ -1,4 +1,4 @@
-/** The table as CSV: round trips, and bad files told cell by cell. */
+/** The table as CSV: round trips, and the report of each invalid cell. */
 import { readFileSync } from "node:fs";
 import { expect } from "chai";
 import { Snapshots } from "../../../base/test/snapshot.ts";
@@ -17,7 +17,7 @@
 }
 
 describe("table CSV", () => {
-  it("comes back the same after a round trip", () => {
+  it("is unchanged by a round trip", () => {
     const table = readTable(TEXT);
     expect(readTable(formatTableCsv(table))).to.deep.equal(table);
   });
@@ -45,7 +45,7 @@
     });
   }
 
-  it("selects the closest row", () => {
+  it("selects the most specific row", () => {
     const table = readTable(TEXT);
     const kindOf = (method: string, path: string) =>
       selectRow(table, { method, path })?.kind;
--- a/src/engine/table/test/table_delta_test.ts
+++ b/src/engine/table/test/table_delta_test.ts
@@ -1,4 +1,4 @@
-/** Deltas lead from any table to any other, and fit only where they start. */
+/** A delta converts one version into another, and applies to no other version. */
 import { expect } from "chai";
 import fc from "fast-check";
 import { applyTableDelta, createTableDelta } from "../common/table_delta.ts";
@@ -106,7 +106,7 @@
     expect(delta.removed).to.deep.equal([]);
   });
 
-  it("doesn't fit another version", () => {
+  it("doesn't apply to another version", () => {
     const put = (kind: string): Step => ({
       type: "put",
       row: { kind, weight: 1 },
--- a/src/engine/table/test/table_reducer_test.ts
+++ b/src/engine/table/test/table_reducer_test.ts
@@ -13,7 +13,7 @@
 } from "../common/table_reducer.ts";
 import { createRow } from "./table_rows.ts";
 
-interface Edited {
+interface EditResult {
   readonly state: TableState;
   readonly outcome: EditOutcome;
 }
@@ -22,7 +22,7 @@
   state: TableState,
   editId: string,
   change: TableChange,
-): Edited {
+): EditResult {
   return applyEdit(state, { editId, operator: editId, atMs: 0, change });
 }
 
--- a/src/engine/table/test/table_rows.ts
+++ b/src/engine/table/test/table_rows.ts
@@ -1,7 +1,7 @@
 /** Rows for tests. */
 import type { TableRow } from "../common/table_row.ts";
 
-/** Creates a row; what isn't given is that of a harmless lookup. */
+/** Creates a row; defaults to an idempotent lookup. */
 export function createRow(change: Partial<TableRow> = {}): TableRow {
   return {
     kind: "lookup",
