--- a/src/daemon/control_daemon.ts
+++ b/src/daemon/control_daemon.ts
@@ -336,41 +336,41 @@
   #createGauges(): void {
     const { metrics } = this.#telemetry;
     const readState = () => this.#loop.state;
-    metrics.createGauge(
+    metrics.addGauge(
       "table_version",
       "Version of the table",
       () => readState().replication.tableState.table.version,
     );
-    metrics.createGauge(
+    metrics.addGauge(
       "members",
       "Nodes whose lease runs",
       () => readState().control.membership.members.size,
     );
-    metrics.createGauge(
+    metrics.addGauge(
       "table_confirmed",
       "Whether a quorum vouched for the table lately (1 or 0)",
       () => readState().control.isTableConfirmed ? 1 : 0,
     );
-    metrics.createGauge(
+    metrics.addGauge(
       "silent_replicas",
       "Other control replicas that are not heard",
       () =>
         [...readState().replication.peers.values()]
           .filter((peer) => peer.isSilent).length,
     );
-    metrics.createLabelledGauge("replica_silent", {
+    metrics.addLabelledGauge("replica_silent", {
       description: "Whether another control replica is not heard (1 or 0)",
       label: "replica",
       read: () =>
         [...readState().replication.peers]
           .map(([id, peer]) => [id, peer.isSilent ? 1 : 0]),
     });
-    metrics.createGauge(
+    metrics.addGauge(
       "consensus_term",
       "Term of the replicated log",
       () => readState().replication.consensus.term,
     );
-    metrics.createGauge(
+    metrics.addGauge(
       "commit_index",
       "Index up to which the replicated log is committed",
       () => readState().replication.consensus.commitIndex,
--- a/src/daemon/node_report.ts
+++ b/src/daemon/node_report.ts
@@ -58,7 +58,7 @@
   readState: ReadNodeState,
 ): void {
   for (const { name, description, read } of GAUGES) {
-    metrics.createGauge(name, description, () => read(readState()));
+    metrics.addGauge(name, description, () => read(readState()));
   }
 }
 
--- a/src/daemon/relay_daemon.ts
+++ b/src/daemon/relay_daemon.ts
@@ -142,7 +142,7 @@
       hearCallers: (address, report) =>
         this.#tree.hear(address, report, readSteadyMs()),
       noteAttempt: (service, cause) => metrics.countAttempt(service, cause),
-      noteEnded: (route, elapsedMs) => metrics.noteDuration(route, elapsedMs),
+      noteEnded: (route, elapsedMs) => metrics.recordDuration(route, elapsedMs),
     });
     this.#meshServer = this.#owned.use(this.#createMeshServer());
     this.#access = new KeyAccess({
--- a/src/daemon/relay_operator.ts
+++ b/src/daemon/relay_operator.ts
@@ -64,7 +64,7 @@
   countByService: CountByService,
 ): OperatorServer {
   for (const [name, description, count] of BUDGET_GAUGES) {
-    metrics.createLabelledGauge(name, {
+    metrics.addLabelledGauge(name, {
       description,
       label: "service",
       read: () =>
@@ -74,7 +74,7 @@
     });
   }
   for (const [name, description, read] of GAUGES) {
-    metrics.createGauge(name, description, () => read(readStatus()));
+    metrics.addGauge(name, description, () => read(readStatus()));
   }
   const { id, dataCentre } = settings;
   const routes = new Map<string, OperatorRoute>([
--- a/src/engine/telemetry/common/duration_buckets.ts
+++ b/src/engine/telemetry/common/duration_buckets.ts
@@ -1,7 +1,7 @@
-/** Durations counted by upper bound, for histograms of a scrape. */
+/** Histograms of durations, with cumulative buckets as Prometheus reads them. */
 
-/** Upper bounds in milliseconds; usual answers take 10 ms to some seconds. */
-export const BOUNDS_MS: readonly number[] = [
+/** Upper bounds of the buckets; answers usually take 10 ms to a few seconds. */
+export const BUCKET_BOUNDS_MS: readonly number[] = [
   2,
   5,
   10,
@@ -18,25 +18,28 @@
 
 /** One histogram for each value of a label. */
 export class DurationBuckets {
-  /** Counts by label; each counts the durations up to its bound. */
+  /** Counts by label, one per bucket and not cumulative; the last is unbounded. */
   readonly #counts = new Map<string, number[]>();
 
-  /** Counts a duration. */
-  note(label: string, durationMs: number): void {
+  record(label: string, durationMs: number): void {
     const counts = this.#counts.get(label) ??
-      Array<number>(BOUNDS_MS.length + 1).fill(0);
+      Array<number>(BUCKET_BOUNDS_MS.length + 1).fill(0);
     this.#counts.set(label, counts);
-    const at = BOUNDS_MS.findIndex((boundMs) => durationMs <= boundMs);
-    counts[at < 0 ? BOUNDS_MS.length : at]! += 1;
+    const index = BUCKET_BOUNDS_MS.findIndex((boundMs) =>
+      durationMs <= boundMs
+    );
+    counts[index < 0 ? BUCKET_BOUNDS_MS.length : index]! += 1;
   }
 
-  /** Lists label, bound and the durations that are not above it. */
+  /** Lists each label and bound with the number of durations at most as long. */
   list(): readonly (readonly [label: string, bound: string, count: number])[] {
     return [...this.#counts].flatMap(([label, counts]) => {
       let total = 0;
-      return counts.map((count, at) => {
+      return counts.map((count, index) => {
         total += count;
-        const bound = at < BOUNDS_MS.length ? String(BOUNDS_MS[at]) : "+Inf";
+        const bound = index < BUCKET_BOUNDS_MS.length
+          ? String(BUCKET_BOUNDS_MS[index])
+          : "+Inf";
         return [label, bound, total] as const;
       });
     });
--- a/src/engine/telemetry/common/explanation.ts
+++ b/src/engine/telemetry/common/explanation.ts
@@ -1,27 +1,27 @@
-/** What the logs of several processes say of one request. */
+/** Explains a request from the logs of several processes. */
 
-/** One line of a log. */
+/** One log line. */
 export interface LogRecord {
   readonly timeMs: number;
   readonly process: string;
   readonly event: string;
-  /** What the line says besides. */
+  /** The other fields of the line's context. */
   readonly inputs: Readonly<Record<string, unknown>>;
 }
 
-/** What became of a request, and what changed around it. */
+/** The decisions on a request, and state changes around that time. */
 export interface Explanation {
   readonly requestId: string;
-  /** Lines that name the request, oldest first. */
+  /** Lines with the id of the request, oldest first. */
   readonly decisions: readonly LogRecord[];
-  /** Changes of what the same processes believed, shortly before or amid. */
+  /** State changes of all processes, shortly before or during the request. */
   readonly changes: readonly LogRecord[];
-  /** The decision that the others follow from; undefined where none failed. */
+  /** The first failure, which caused the later ones; undefined if none failed. */
   readonly cause: LogRecord | undefined;
 }
 
-/** Events that change what a process believes. */
-const CHANGES: ReadonlySet<string> = new Set([
+/** Events that change the state of a process or its view of others. */
+const CHANGE_EVENTS: ReadonlySet<string> = new Set([
   "BackendChanged",
   "ControlLinked",
   "ControlLost",
@@ -34,15 +34,15 @@
   "SettingsInvalid",
   "SettingsRead",
 ]);
-/** Events that say why a call went no further. */
-const FAILURES: ReadonlySet<string> = new Set([
+/** Events that report why a call failed or was moved. */
+const FAILURE_EVENTS: ReadonlySet<string> = new Set([
   "CallFailed",
   "CallMoved",
   "CallNotAnswered",
 ]);
-/** A change so long before a request's first line may still explain it. */
-const BEFORE_MS = 5_000;
-/** Fields that all lines have, or that are shown elsewhere. */
+/** Time before a request's first line from which changes are listed. */
+const CHANGE_LOOKBACK_MS = 5_000;
+/** Fields that occur on all lines or are reported separately. */
 const COMMON_FIELDS: ReadonlySet<string> = new Set([
   "dataCentre",
   "logLevel",
@@ -51,7 +51,7 @@
   "role",
 ]);
 
-/** Parses a line; undefined for one that is not of a log of ours. */
+/** Parses a line; undefined if it isn't a log line of this program. */
 export function parseLogLine(
   line: string,
 ): (LogRecord & { readonly requestId: string | undefined }) | undefined {
@@ -82,7 +82,7 @@
   };
 }
 
-/** Explains a request by the lines of all logs, in any order. */
+/** Explains a request from the lines of all logs, in any order. */
 export function explainRequest(
   lines: Iterable<string>,
   requestId: string,
@@ -90,26 +90,27 @@
   const records = [...lines].flatMap((line) => parseLogLine(line) ?? [])
     .sort((a, b) => a.timeMs - b.timeMs);
   const decisions = records.filter((record) => record.requestId === requestId);
-  const first = decisions[0]?.timeMs ?? Infinity;
-  const last = decisions.at(-1)?.timeMs ?? -Infinity;
+  const firstMs = decisions[0]?.timeMs ?? Infinity;
+  const lastMs = decisions.at(-1)?.timeMs ?? -Infinity;
   const changes = records.filter(({ event, timeMs }) =>
-    CHANGES.has(event) && timeMs >= first - BEFORE_MS && timeMs <= last
+    CHANGE_EVENTS.has(event) && timeMs >= firstMs - CHANGE_LOOKBACK_MS &&
+    timeMs <= lastMs
   );
   return {
     requestId,
-    decisions: decisions.map(dropRequestId),
-    changes: changes.map(dropRequestId),
+    decisions: decisions.map(removeRequestId),
+    changes: changes.map(removeRequestId),
     cause: findCause(decisions),
   };
 }
 
-/** What failed first: the rest follows from it. */
+/** Finds the first failure, which caused the later ones. */
 function findCause(decisions: readonly LogRecord[]): LogRecord | undefined {
-  const cause = decisions.find(({ event }) => FAILURES.has(event));
-  return cause && dropRequestId(cause);
+  const cause = decisions.find(({ event }) => FAILURE_EVENTS.has(event));
+  return cause && removeRequestId(cause);
 }
 
-function dropRequestId(record: LogRecord): LogRecord {
+function removeRequestId(record: LogRecord): LogRecord {
   const { timeMs, process, event, inputs } = record;
   return { timeMs, process, event, inputs };
 }
--- a/src/engine/telemetry/common/process_clock.ts
+++ b/src/engine/telemetry/common/process_clock.ts
@@ -1,33 +1,33 @@
-/** The hybrid logical clock of a process, as it rides on messages. */
+/** The hybrid logical clock of a process, as transmitted with messages. */
 import type { HybridTime } from "./timeline_event.ts";
 
-/** What senders and receivers of messages need of the clock. */
+/** Access to the clock for senders and receivers of messages. */
 export interface ProcessClock {
-  /** Reads the clock, to be sent along. */
+  /** Returns the current clock, to be sent with a message. */
   readonly read: () => HybridTime;
-  /** Observes what came with a message; anything but a clock is ignored. */
+  /** Processes the clock received with a message; ignores invalid values. */
   readonly observe: (received: unknown) => void;
 }
 
-/** Carries the clock on calls, on answers to nodes and on peer messages. */
+/** Header with the clock, on calls, answers to nodes and peer messages. */
 export const CLOCK_HEADER = "basilpin-clock";
 
-const ENCODED = /^(\d{1,15})\.(\d{1,9})$/;
+const ENCODED_CLOCK = /^(\d{1,15})\.(\d{1,9})$/;
 
-/** Writes a clock as the value of its header. */
+/** Encodes a clock as a header value. */
 export function encodeClock({ wallMs, counter }: HybridTime): string {
   return `${wallMs}.${counter}`;
 }
 
-/** Reads the value of the header; undefined where it is no clock. */
+/** Decodes a header value; undefined if it is invalid. */
 export function decodeClock(value: unknown): HybridTime | undefined {
-  const parts = typeof value === "string" ? ENCODED.exec(value) : null;
+  const parts = typeof value === "string" ? ENCODED_CLOCK.exec(value) : null;
   return parts === null
     ? undefined
     : { wallMs: Number(parts[1]), counter: Number(parts[2]) };
 }
 
-/** Checks the clock of a message; undefined where it is none. */
+/** Validates the clock of a message; undefined if it is invalid. */
 export function checkClock(value: unknown): HybridTime | undefined {
   const { wallMs, counter } = (value ?? {}) as Partial<HybridTime>;
   return Number.isSafeInteger(wallMs) && Number.isSafeInteger(counter) &&
--- a/src/engine/telemetry/common/timeline.ts
+++ b/src/engine/telemetry/common/timeline.ts
@@ -1,16 +1,16 @@
-/** A bounded ring of time line records with a hybrid logical clock. */
+/** A ring buffer of time line records, ordered by a hybrid logical clock. */
 import type {
   HybridTime,
   TimelineEvent,
   TimelineRecord,
 } from "./timeline_event.ts";
 
-/** Records that a process keeps by default. */
+/** Default number of records that a process retains. */
 export const TIMELINE_CAPACITY = 4_096;
-/** How far ahead another process's clock is believed, in milliseconds. */
+/** Maximum lead of a received clock over the local wall clock. */
 export const MAX_CLOCK_AHEAD_MS = 3_600_000;
 
-/** Whose time line it is. */
+/** The process that owns the time line, and the number of records retained. */
 export interface TimelineOptions {
   readonly process: string;
   readonly dataCentre: string;
@@ -22,7 +22,7 @@
   readonly #options: TimelineOptions;
   readonly #capacity: number;
   readonly #records: TimelineRecord[] = [];
-  #next = 0;
+  #nextIndex = 0;
   #clock: HybridTime = { wallMs: 0, counter: 0 };
 
   constructor(options: TimelineOptions) {
@@ -30,15 +30,15 @@
     this.#capacity = options.capacity ?? TIMELINE_CAPACITY;
   }
 
-  /** The clock as it stands, to be sent along with messages. */
+  /** The current clock, to be sent with messages. */
   get clock(): HybridTime {
     return this.#clock;
   }
 
   /**
-   * Moves the clock past one that came with a message. One that is absurdly
-   * far ahead of this wall clock is ignored: it would spoil every later time.
-   * Returns whether it was believed.
+   * Advances the clock to one received with a message. Ignores a clock more than
+   * `MAX_CLOCK_AHEAD_MS` ahead of the wall clock, which would distort all later
+   * times. Returns whether the clock was accepted.
    */
   observeClock(other: HybridTime, nowMs: number): boolean {
     if (other.wallMs > nowMs + MAX_CLOCK_AHEAD_MS) {
@@ -53,26 +53,26 @@
     return true;
   }
 
-  /** Keeps an event; the oldest one falls out of a full ring. */
+  /** Records an event; a full buffer overwrites the oldest one. */
   record(event: TimelineEvent, nowMs: number): void {
     this.#clock = nowMs > this.#clock.wallMs
       ? { wallMs: nowMs, counter: 0 }
       : { wallMs: this.#clock.wallMs, counter: this.#clock.counter + 1 };
     const { process, dataCentre } = this.#options;
     const record = { at: this.#clock, process, dataCentre, event };
-    this.#records[this.#next] = record;
-    this.#next = (this.#next + 1) % this.#capacity;
+    this.#records[this.#nextIndex] = record;
+    this.#nextIndex = (this.#nextIndex + 1) % this.#capacity;
   }
 
-  /** Lists what is kept, oldest first. */
+  /** Lists the retained records, oldest first. */
   list(): readonly TimelineRecord[] {
     const isFull = this.#records.length === this.#capacity;
     if (!isFull) {
       return [...this.#records];
     }
     return [
-      ...this.#records.slice(this.#next),
-      ...this.#records.slice(0, this.#next),
+      ...this.#records.slice(this.#nextIndex),
+      ...this.#records.slice(0, this.#nextIndex),
     ];
   }
 }
--- a/src/engine/telemetry/common/timeline_event.ts
+++ b/src/engine/telemetry/common/timeline_event.ts
@@ -1,7 +1,7 @@
-/** The typed events of the time line over all processes. */
+/** Event types of the time line, which covers all processes. */
 import type { CallOutcome } from "../../call/common/call_context.ts";
 
-/** Something worth seeing on the time line. */
+/** An event of the time line. */
 export type TimelineEvent =
   | { readonly type: "ProcessStarted"; readonly role: "node" | "control" }
   | { readonly type: "ProcessStopped" }
@@ -27,14 +27,16 @@
   | {
     readonly type: "LeaderChanged";
     readonly term: number;
-    /** Id in the settings; `none` where no leader is known. */
+    /** The leader's id in the settings; `none` if no leader is known. */
     readonly leader: string;
   }
+  /** Nothing was received from a replica for some time. */
   | { readonly type: "ReplicaSilent"; readonly replica: string }
+  /** Messages from a silent replica are received again. */
   | { readonly type: "ReplicaHeard"; readonly replica: string }
-  /** A replica begins to vote. */
+  /** A replica has become a voter. */
   | { readonly type: "ReplicaJoined"; readonly replica: string }
-  /** Other nodes keep the idempotency keys of a service from here on. */
+  /** A new set of holders stores the idempotency keys of a service. */
   | {
     readonly type: "HoldersChanged";
     readonly service: string;
@@ -43,18 +45,18 @@
   }
   | { readonly type: "NodeJoined"; readonly nodeId: string }
   | { readonly type: "NodeLost"; readonly nodeId: string }
-  /** The local backend server died; what it ran is suspect. */
+  /** The local backend server crashed; the requests that it ran are suspects. */
   | { readonly type: "BackendCrashed"; readonly suspects: number }
-  /** A suspect may run here, alone. */
+  /** A suspect is allowed to run at this node, alone. */
   | { readonly type: "SuspectRun"; readonly fingerprint: string }
-  /** A request that crashes backend servers is refused for a time. */
+  /** A request that crashes backend servers is refused for `lengthMs`. */
   | {
     readonly type: "RequestQuarantined";
-    /** Kind and digest. */
+    /** Kind and digest of the request. */
     readonly fingerprint: string;
     readonly lengthMs: number;
   }
-  /** A suspect ran whole, or was forgotten. */
+  /** A suspect ran without a crash, or its record was evicted. */
   | { readonly type: "SuspectCleared"; readonly fingerprint: string }
   | {
     readonly type: "CallStarted";
@@ -79,12 +81,12 @@
     readonly attemptId: string;
     readonly kind: string;
     readonly importance: number;
-    /** A `RefusalReason`, or a sentence. */
+    /** A `RefusalReason`, or a description. */
     readonly reason: string;
   }
   /**
-   * Refused where it entered: the backend servers would refuse it (`early`),
-   * or its caller sends too much again (`resend`).
+   * Refused at its entry node: the backend servers would refuse it (`early`), or
+   * its caller resends too often (`resend`).
    */
   | {
     readonly type: "CallRefused";
@@ -101,15 +103,15 @@
     readonly outcome: CallOutcome;
   };
 
-/** A point of a hybrid logical clock (Kulkarni et al., 2014). */
+/** A timestamp of a hybrid logical clock (Kulkarni et al., 2014). */
 export interface HybridTime {
-  /** Largest wall clock seen, in milliseconds. */
+  /** Largest wall clock observed, in milliseconds. */
   readonly wallMs: number;
-  /** Orders events of one `wallMs`. */
+  /** Orders events with the same `wallMs`. */
   readonly counter: number;
 }
 
-/** An event as a process keeps it. */
+/** An event with its timestamp and the process that recorded it. */
 export interface TimelineRecord {
   readonly at: HybridTime;
   readonly process: string;
@@ -117,7 +119,7 @@
   readonly event: TimelineEvent;
 }
 
-/** Orders records: by clock, then by process. */
+/** Compares records by clock, then by process. */
 export function compareRecords(a: TimelineRecord, b: TimelineRecord): number {
   return a.at.wallMs - b.at.wallMs || a.at.counter - b.at.counter ||
     (a.process < b.process ? -1 : a.process > b.process ? 1 : 0);
--- a/src/engine/telemetry/node/log.ts
+++ b/src/engine/telemetry/node/log.ts
@@ -1,13 +1,13 @@
-/** Structured logs: one JSON object a line, by roarr. */
+/** Structured logs: one JSON object per line, written by roarr. */
 import process from "node:process";
 import "./log_switch.ts";
 import { logLevels, ROARR, Roarr } from "roarr";
 import type { Logger, Message } from "roarr";
 
-/** Least level that is written. */
+/** Minimum level that is written. */
 export type LogLevel = "trace" | "debug" | "info" | "warn" | "error";
 
-/** What every line of a process carries. */
+/** Fields of all lines of a process, and the minimum level. */
 export interface LogOptions {
   readonly level: LogLevel;
   readonly role: string;
@@ -15,14 +15,16 @@
   readonly dataCentre: string;
 }
 
-/** Lines beyond this many unwritten bytes are dropped: none may block. */
+/** Lines are dropped beyond this backlog, because logging must not block. */
 const MAX_UNWRITTEN_BYTES = 1_048_576;
 
-/** Creates the log of this process; lines go to standard output. */
+/** Creates the logger of this process, which writes to standard output. */
 export function createLog(options: LogOptions): Logger {
-  const least = logLevels[options.level];
+  const minLevel = logLevels[options.level];
   ROARR.serializeMessage = (message: Message) =>
-    Number(message.context["logLevel"]) < least ? "" : JSON.stringify(message);
+    Number(message.context["logLevel"]) < minLevel
+      ? ""
+      : JSON.stringify(message);
   ROARR.write = (line) => {
     if (line !== "" && process.stdout.writableLength < MAX_UNWRITTEN_BYTES) {
       process.stdout.write(`${line}\n`);
--- a/src/engine/telemetry/node/log_switch.ts
+++ b/src/engine/telemetry/node/log_switch.ts
@@ -1,4 +1,4 @@
-/** Turns roarr on: it reads this variable once, when it is first imported. */
+/** Enables roarr, which reads this variable once, on its first import. */
 import process from "node:process";
 
 process.env["ROARR_LOG"] ??= "true";
--- a/src/engine/telemetry/node/metrics.ts
+++ b/src/engine/telemetry/node/metrics.ts
@@ -1,15 +1,15 @@
-/** Counts and gauges in plain fields, until a scrape reads them. */
+/** Counters and gauges of a process, independent of the metrics library. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Attributes } from "@opentelemetry/api";
 import { DurationBuckets } from "../common/duration_buckets.ts";
 import type { TimelineEvent } from "../common/timeline_event.ts";
 import type { MetricsReader } from "./metrics_reader.ts";
 
-/** Reads the present value of a gauge. */
+/** Returns the current value of a gauge. */
 export type ReadGauge = () => number;
 
-/** One value of a gauge. */
-export interface Reading {
+/** One value of a gauge, with its labels. */
+export interface GaugeValue {
   readonly value: number;
   readonly attributes: Attributes;
 }
@@ -18,34 +18,34 @@
 export interface Gauge {
   readonly name: string;
   readonly description: string;
-  readonly read: () => readonly Reading[];
+  readonly read: () => readonly GaugeValue[];
 }
 
-/** A gauge that has one value for each value of a label. */
+/** Options of a gauge with one value for each value of a label. */
 export interface LabelledGauge {
   readonly description: string;
   readonly label: string;
-  /** Reads value of the label and reading, in turn. */
+  /** Returns pairs of label value and gauge value. */
   readonly read: () => readonly (readonly [string, number])[];
 }
 
-/** A running count of one set of attributes. */
+/** The running count for one set of attributes. */
 export interface Count {
   count: number;
   readonly attributes: Attributes;
 }
 
-/** A metric that is counted by attributes. */
+/** A counter with one count for each set of attributes. */
 export interface Counter {
   readonly name: string;
   readonly description: string;
   readonly counts: Counts;
 }
 
-/** Counts by a text of their attributes. */
+/** Counts by a key that is derived from their attributes. */
 export type Counts = Map<string, Count>;
 
-/** The meters of one process; the library is loaded by the first scrape. */
+/** The metrics of one process; the first scrape loads the metrics library. */
 export class Metrics implements AsyncDisposable {
   readonly #events: Counts = new Map();
   readonly #calls: Counts = new Map();
@@ -56,57 +56,56 @@
   readonly #gauges: Gauge[] = [];
   #reader: Promise<MetricsReader> | undefined;
 
-  /** Counts an event of the time line. */
+  /** Counts an event of the time line, and the call that it ends or refuses. */
   countEvent(event: TimelineEvent): void {
     const { type } = event;
-    countOne(this.#events, type, () => ({ type }));
+    incrementCount(this.#events, type, () => ({ type }));
     if (event.type === "CallEnded") {
       const { kind, outcome, status } = event;
       const key = `${kind} ${outcome} ${status}`;
-      countOne(this.#calls, key, () => ({ kind, outcome, status }));
+      incrementCount(this.#calls, key, () => ({ kind, outcome, status }));
     }
     if (event.type === "AttemptRefused" || event.type === "CallRefused") {
       const { kind, importance, reason } = event;
       const key = `${kind} ${importance} ${reason}`;
-      countOne(this.#refusals, key, () => ({ kind, importance, reason }));
+      incrementCount(this.#refusals, key, () => ({ kind, importance, reason }));
     }
   }
 
-  /** Counts a decision, also where its line isn't written. */
+  /** Counts a decision, even if the log level suppresses its line. */
   countDecision(event: string, outcome: string): void {
     const key = `${event} ${outcome}`;
-    countOne(this.#decisions, key, () => ({ event, outcome }));
+    incrementCount(this.#decisions, key, () => ({ event, outcome }));
   }
 
-  /** Counts a call that is sent to a service, by why it is sent. */
+  /** Counts a call that is sent to a service, by cause. */
   countAttempt(service: string, cause: string): void {
     const key = `${service} ${cause}`;
-    countOne(this.#attempts, key, () => ({ service, cause }));
+    incrementCount(this.#attempts, key, () => ({ service, cause }));
   }
 
-  /** Counts how long a call of a route took until its final answer. */
-  noteDuration(route: string, durationMs: number): void {
-    this.#durations.note(route, durationMs);
+  /** Records the time until the final answer of a call of a route. */
+  recordDuration(route: string, durationMs: number): void {
+    this.#durations.record(route, durationMs);
   }
 
   /** Adds a gauge that is read at each scrape. */
-  createGauge(name: string, description: string, read: ReadGauge): void {
-    const readOne = () => [{ value: read(), attributes: {} }];
-    this.#gauges.push({ name, description, read: readOne });
+  addGauge(name: string, description: string, read: ReadGauge): void {
+    const readValue = () => [{ value: read(), attributes: {} }];
+    this.#gauges.push({ name, description, read: readValue });
   }
 
-  /** Adds a gauge with one value for each of several named things. */
-  createLabelledGauge(name: string, options: LabelledGauge): void {
+  /** Adds a gauge with one value for each value of a label. */
+  addLabelledGauge(name: string, options: LabelledGauge): void {
     const { description, label, read } = options;
-    const readAll = () =>
-      read().map(([labelled, value]) => ({
+    const readValues = () =>
+      read().map(([labelValue, value]) => ({
         value,
-        attributes: { [label]: labelled },
+        attributes: { [label]: labelValue },
       }));
-    this.#gauges.push({ name, description, read: readAll });
+    this.#gauges.push({ name, description, read: readValues });
   }
 
-  /** Answers a scrape. */
   async answerScrape(
     request: IncomingMessage,
     response: ServerResponse,
@@ -153,14 +152,14 @@
   }
 }
 
-function countOne(
+function incrementCount(
   counts: Counts,
   key: string,
   createAttributes: () => Attributes,
 ): void {
-  const known = counts.get(key);
-  if (known !== undefined) {
-    known.count += 1;
+  const existing = counts.get(key);
+  if (existing !== undefined) {
+    existing.count += 1;
     return;
   }
   counts.set(key, { count: 1, attributes: createAttributes() });
--- a/src/engine/telemetry/node/metrics_reader.ts
+++ b/src/engine/telemetry/node/metrics_reader.ts
@@ -1,11 +1,11 @@
-/** OpenTelemetry metrics for a Prometheus scrape. */
+/** Export of the metrics to Prometheus, by OpenTelemetry. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { PrometheusExporter } from "@opentelemetry/exporter-prometheus";
 import { MeterProvider } from "@opentelemetry/sdk-metrics";
 import type { DurationBuckets } from "../common/duration_buckets.ts";
 import type { Counter, Gauge } from "./metrics.ts";
 
-/** Reads counts and gauges at each scrape. */
+/** Exports counters, durations and gauges; reads them at each scrape. */
 export class MetricsReader implements AsyncDisposable {
   readonly #exporter = new PrometheusExporter({
     preventServerStart: true,
@@ -44,7 +44,6 @@
     }
   }
 
-  /** Answers a scrape. */
   answerScrape(request: IncomingMessage, response: ServerResponse): void {
     this.#exporter.getMetricsRequestHandler(request, response);
   }
--- a/src/engine/telemetry/test/clock_test.ts
+++ b/src/engine/telemetry/test/clock_test.ts
@@ -1,4 +1,4 @@
-/** The order of the time line where the clocks of the VMs differ. */
+/** Order of the time line when the wall clocks of VMs differ. */
 import { expect } from "chai";
 import {
   checkClock,
@@ -10,9 +10,9 @@
 
 const NOW_MS = 1_700_000_000_000;
 const MINUTE_MS = 60_000;
-const HOP_MS = 1;
+const HOP_DELAY_MS = 1;
 
-/** What happens in a chain of three: one call down and its answers up. */
+/** Events of a chain of three processes: calls down, then answers up. */
 const STEPS = [
   ["entry", "CallStarted"],
   ["middle", "AttemptRun"],
@@ -21,12 +21,12 @@
   ["entry", "CallEnded"],
 ] as const;
 
-/** Sorts the time line of the chain; each step is caused by the one before. */
-function listOrder(
+/** Sorts the chain's time line; each step is caused by the previous one. */
+function listOrderedEvents(
   offsetsMs: Readonly<Record<string, number>>,
   carriesClock: boolean,
 ): readonly string[] {
-  const lines = new Map(
+  const timelines = new Map(
     Object.keys(offsetsMs).map((process) => [
       process,
       new Timeline({ process, dataCentre: "hall-a" }),
@@ -35,23 +35,23 @@
   let nowMs = NOW_MS;
   let header: string | undefined;
   for (const [process, type] of STEPS) {
-    const line = lines.get(process)!;
+    const timeline = timelines.get(process)!;
     const wallMs = nowMs + offsetsMs[process]!;
     const clock = decodeClock(header);
     if (carriesClock && clock !== undefined) {
-      expect(line.observeClock(clock, wallMs)).to.equal(true);
+      expect(timeline.observeClock(clock, wallMs)).to.equal(true);
     }
-    line.record({ type, requestId: "r" } as never, wallMs);
-    header = encodeClock(line.clock);
-    nowMs += HOP_MS;
+    timeline.record({ type, requestId: "r" } as never, wallMs);
+    header = encodeClock(timeline.clock);
+    nowMs += HOP_DELAY_MS;
   }
-  return [...lines.values()].flatMap((line) => line.list())
+  return [...timelines.values()].flatMap((line) => line.list())
     .toSorted(compareRecords)
     .map(({ process, event }) => `${process} ${event.type}`);
 }
 
 describe("hybrid logical clock", () => {
-  const caused = STEPS.map(([process, type]) => `${process} ${type}`);
+  const causalOrder = STEPS.map(([process, type]) => `${process} ${type}`);
   const offsets = {
     "entry ahead": { entry: 7 * MINUTE_MS, middle: 0, deep: 0 },
     "middle behind": { entry: 0, middle: -9 * MINUTE_MS, deep: 0 },
@@ -64,28 +64,30 @@
   };
   for (const [name, offsetsMs] of Object.entries(offsets)) {
     it(`orders a chain by cause and effect, ${name}`, () => {
-      expect(listOrder(offsetsMs, true)).to.deep.equal(caused);
+      expect(listOrderedEvents(offsetsMs, true)).to.deep.equal(causalOrder);
     });
 
     it(`needs the clock of each message for that, ${name}`, () => {
-      expect(listOrder(offsetsMs, false)).not.to.deep.equal(caused);
+      expect(listOrderedEvents(offsetsMs, false)).not.to.deep.equal(
+        causalOrder,
+      );
     });
   }
 
-  it("ignores a clock that is absurdly far ahead", () => {
-    const line = new Timeline({ process: "a", dataCentre: "hall-a" });
-    line.record({ type: "DrainStarted" }, NOW_MS);
-    const { clock } = line;
+  it("ignores a clock too far ahead of the wall clock", () => {
+    const timeline = new Timeline({ process: "a", dataCentre: "hall-a" });
+    timeline.record({ type: "DrainStarted" }, NOW_MS);
+    const { clock } = timeline;
     const wallMs = NOW_MS + MAX_CLOCK_AHEAD_MS;
     const counter = 0;
-    expect(line.observeClock({ wallMs: wallMs + 1, counter }, NOW_MS))
+    expect(timeline.observeClock({ wallMs: wallMs + 1, counter }, NOW_MS))
       .to.equal(false);
-    expect(line.clock).to.deep.equal(clock);
-    expect(line.observeClock({ wallMs, counter }, NOW_MS)).to.equal(true);
-    expect(line.clock).to.deep.equal({ wallMs, counter });
+    expect(timeline.clock).to.deep.equal(clock);
+    expect(timeline.observeClock({ wallMs, counter }, NOW_MS)).to.equal(true);
+    expect(timeline.clock).to.deep.equal({ wallMs, counter });
   });
 
-  it("takes nothing that is no clock", () => {
+  it("rejects values that are not a clock", () => {
     const clock = { wallMs: NOW_MS, counter: 3 };
     expect(decodeClock(encodeClock(clock))).to.deep.equal(clock);
     for (
--- a/src/engine/telemetry/test/duration_buckets_test.ts
+++ b/src/engine/telemetry/test/duration_buckets_test.ts
@@ -1,11 +1,14 @@
-/** Histograms by upper bound. */
+/** Cumulative histograms of durations. */
 import { expect } from "chai";
-import { BOUNDS_MS, DurationBuckets } from "../common/duration_buckets.ts";
+import {
+  BUCKET_BOUNDS_MS,
+  DurationBuckets,
+} from "../common/duration_buckets.ts";
 
 describe("durations", () => {
   it("are counted at each bound that is not below them", () => {
     const buckets = new DurationBuckets();
-    [1, 5, 30, 20_000].forEach((ms) => buckets.note("lookup", ms));
+    [1, 5, 30, 20_000].forEach((ms) => buckets.record("lookup", ms));
     const counts = new Map(
       buckets.list().map(([, bound, count]) => [bound, count]),
     );
@@ -17,10 +20,10 @@
     expect(counts.get("+Inf")).to.equal(4);
   });
 
-  it("are kept apart by label", () => {
+  it("are counted separately by label", () => {
     const buckets = new DurationBuckets();
-    buckets.note("lookup", 1);
-    buckets.note("upload", 1);
-    expect(buckets.list()).to.have.length(2 * (BOUNDS_MS.length + 1));
+    buckets.record("lookup", 1);
+    buckets.record("upload", 1);
+    expect(buckets.list()).to.have.length(2 * (BUCKET_BOUNDS_MS.length + 1));
   });
 });
--- a/src/engine/telemetry/test/explanation_lines.ts
+++ b/src/engine/telemetry/test/explanation_lines.ts
@@ -1,4 +1,4 @@
-/** Lines of two nodes' logs, as they wrote them; only the names are changed. */
+/** Log lines of two nodes; only the names differ from the recorded ones. */
 export const LINES: readonly string[] = [
   '{"context":{"role":"node","process":"node-front","dataCentre":"hall-a","replica":"10.0.0.1:13045","logLevel":30},"message":"ControlLinked","sequence":"1","time":1796251393778,"version":"2.0.0"}',
   '{"context":{"role":"node","process":"node-front","dataCentre":"hall-a","instanceId":"i-1","service":"front","slots":40,"isDraining":false,"logLevel":30},"message":"BackendChanged","sequence":"2","time":1796251393802,"version":"2.0.0"}',
--- a/src/engine/telemetry/test/explanation_test.ts
+++ b/src/engine/telemetry/test/explanation_test.ts
@@ -1,4 +1,4 @@
-/** What logs say of three kinds of failed request. */
+/** Explanations of three kinds of failed request. */
 import { expect } from "chai";
 import { Snapshots } from "../../../base/test/snapshot.ts";
 import { explainRequest, parseLogLine } from "../common/explanation.ts";
@@ -19,20 +19,20 @@
   }
 
   it("doesn't depend on the order of the files", () => {
-    const backwards = [...LINES].reverse();
-    expect(explainRequest(backwards, "q967"))
+    const reversed = [...LINES].reverse();
+    expect(explainRequest(reversed, "q967"))
       .to.deep.equal(explainRequest(LINES, "q967"));
   });
 
-  it("is empty where no line names it", () => {
+  it("is empty if no line has the request's id", () => {
     const explanation = explainRequest(LINES, "nobody");
     expect(explanation.decisions).to.deep.equal([]);
     expect(explanation.cause).to.equal(undefined);
   });
 
-  it("passes over lines that are not of our logs", () => {
-    const others = ["", "Killed", "{", "7", "null", '{"message":"x"}'];
-    expect(others.map(parseLogLine))
-      .to.deep.equal(others.map(() => undefined));
+  it("ignores lines that are not log lines of this program", () => {
+    const foreignLines = ["", "Killed", "{", "7", "null", '{"message":"x"}'];
+    expect(foreignLines.map(parseLogLine))
+      .to.deep.equal(foreignLines.map(() => undefined));
   });
 });
--- a/src/engine/telemetry/test/metrics_test.ts
+++ b/src/engine/telemetry/test/metrics_test.ts
@@ -1,4 +1,4 @@
-/** What a scrape shows, the first one and later ones. */
+/** Metrics of the first scrape and of later ones. */
 import { once } from "node:events";
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
@@ -9,7 +9,7 @@
   it("show what was counted before and after the first scrape", async () => {
     await using metrics = new Metrics();
     let running = 3;
-    metrics.createGauge("running", "Running now", () => running);
+    metrics.addGauge("running", "Running now", () => running);
     metrics.countEvent({ type: "DrainEnded" });
     const server = createServer((request, response) => {
       void metrics.answerScrape(request, response);
@@ -23,8 +23,8 @@
       return await answer.text();
     };
     try {
-      const [first, twin] = await Promise.all([scrape(), scrape()]);
-      for (const text of [first, twin]) {
+      const [first, second] = await Promise.all([scrape(), scrape()]);
+      for (const text of [first, second]) {
         expect(text).to.match(/^basilpin_events_total\{.*"DrainEnded".*\} 1$/m);
         expect(text).to.match(/^basilpin_running(\{.*\})? 3$/m);
       }
