--- a/src/engine/trace/common/replay_control.ts
+++ b/src/engine/trace/common/replay_control.ts
@@ -1,4 +1,4 @@
-/** Replays what a control replica recorded. */
+/** Replay of a control replica's recording. */
 import {
   createReplica,
   reduceReplica,
@@ -17,14 +17,14 @@
   TracedEdit,
 } from "./trace_format.ts";
 
-/** What the replay of a control replica gives. */
+/** The result of replaying a control replica's trace. */
 export interface ControlReplay {
   readonly steps: readonly ReplayStep<ReplicaEffect>[];
   readonly outcome: ControlOutcome;
   readonly state: ReplicaState;
 }
 
-/** Replays a trace from what the replica's disk held at the start. */
+/** Replays a trace from the replica's stored state at its start. */
 export function replayControl(trace: ControlTrace): ControlReplay {
   let state = createReplica(trace.header.start);
   const steps: ReplayStep<ReplicaEffect>[] = [];
@@ -32,7 +32,7 @@
   const edits: TracedEdit[] = [];
   const reads: number[] = [];
   for (const { atMs, event } of trace.events) {
-    noteEdit(editIds, event);
+    recordEdit(editIds, event);
     const step = reduceReplica(state, event, atMs);
     state = step.state;
     steps.push({ atMs, eventType: event.type, effects: step.effects });
@@ -50,7 +50,7 @@
   return { steps, state, outcome: { edits, reads, tableVersion } };
 }
 
-/** Names the parts in which two outcomes differ; empty where they agree. */
+/** Describes the differences between two outcomes; empty if they are equal. */
 export function compareControlOutcomes(
   expected: ControlOutcome,
   actual: ControlOutcome,
@@ -74,7 +74,7 @@
   ];
 }
 
-function noteEdit(editIds: Map<number, string>, event: ReplicaEvent): void {
+function recordEdit(editIds: Map<number, string>, event: ReplicaEvent): void {
   if (event.type === "EditRequested") {
     editIds.set(event.requestId, event.edit.editId);
   }
--- a/src/engine/trace/common/replay_node.ts
+++ b/src/engine/trace/common/replay_node.ts
@@ -1,4 +1,4 @@
-/** Replays what a node recorded. */
+/** Replay of a node's recording. */
 import { OUTCOME_HEADER } from "../../call/common/call_context.ts";
 import type { NodeEffect, NodeEvent } from "../../call/common/call_events.ts";
 import { reduceNode } from "../../call/common/node_reducer.ts";
@@ -8,14 +8,14 @@
 import type { ReplayStep } from "./replay.ts";
 import type { NodeOutcome, NodeTrace, TracedAnswer } from "./trace_format.ts";
 
-/** What the replay of a node gives. */
+/** The result of replaying a node's trace. */
 export interface NodeReplay {
   readonly steps: readonly ReplayStep<NodeEffect>[];
   readonly outcome: NodeOutcome;
   readonly state: NodeState;
 }
 
-/** Replays a trace from a freshly started node. */
+/** Replays a trace from the initial state of the node. */
 export function replayNode(trace: NodeTrace): NodeReplay {
   const { self, backendAddress } = trace.header;
   let state = createNodeState(self, backendAddress);
@@ -23,25 +23,25 @@
   const answers: TracedAnswer[] = [];
   const statuses = new Map<string, number>();
   for (const { atMs, event } of trace.events) {
-    noteStatus(statuses, event);
+    recordStatus(statuses, event);
     const step = reduceNode(state, event, atMs);
     state = step.state;
     steps.push({ atMs, eventType: event.type, effects: step.effects });
     for (const effect of step.effects) {
-      noteStatus(statuses, effect);
-      answers.push(...readAnswer(effect, statuses));
+      recordStatus(statuses, effect);
+      answers.push(...listAnswers(effect, statuses));
     }
   }
-  return { steps, state, outcome: computeOutcome(steps, answers, state) };
+  return { steps, state, outcome: buildOutcome(steps, answers, state) };
 }
 
-/** Names the parts in which two outcomes differ; empty where they agree. */
+/** Describes the differences between two outcomes; empty if they are equal. */
 export function compareNodeOutcomes(
   expected: NodeOutcome,
   actual: NodeOutcome,
 ): readonly string[] {
-  const names = ["sentToNodes", "sentToBackend", "open"] as const;
-  const differing = names
+  const countNames = ["sentToNodes", "sentToBackend", "open"] as const;
+  const countDifferences = countNames
     .filter((name) => expected[name] !== actual[name])
     .map((name) => `${name}: expected ${expected[name]}, got ${actual[name]}`);
   const answers = compareLists(
@@ -49,27 +49,27 @@
     expected.answers.map(describeAnswer),
     actual.answers.map(describeAnswer),
   );
-  return [...differing, ...answers];
+  return [...countDifferences, ...answers];
 }
 
-function computeOutcome(
+function buildOutcome(
   steps: readonly ReplayStep<NodeEffect>[],
   answers: readonly TracedAnswer[],
   state: NodeState,
 ): NodeOutcome {
   const effects = steps.flatMap((step) => step.effects);
   const sent = effects.filter((effect) => effect.type === "SendAttempt");
-  const toNodes = sent.filter((effect) => effect.peer === "node").length;
+  const nodeCount = sent.filter((effect) => effect.peer === "node").length;
   return {
     answers,
-    sentToNodes: toNodes,
-    sentToBackend: sent.length - toNodes,
+    sentToNodes: nodeCount,
+    sentToBackend: sent.length - nodeCount,
     open: state.entries.size + state.served.size,
   };
 }
 
-/** Notes the status of an answer that is passed on later. */
-function noteStatus(
+/** Records the status of an answer, because `RelayAnswer` doesn't contain it. */
+function recordStatus(
   statuses: Map<string, number>,
   item: NodeEvent | NodeEffect,
 ): void {
@@ -86,7 +86,7 @@
   }
 }
 
-function readAnswer(
+function listAnswers(
   effect: NodeEffect,
   statuses: ReadonlyMap<string, number>,
 ): readonly TracedAnswer[] {
--- a/src/engine/trace/common/trace_format.ts
+++ b/src/engine/trace/common/trace_format.ts
@@ -1,7 +1,7 @@
 /**
- * The trace format, version 1: JSON lines. The first line says what process it
- * was recorded from, the next ones are its events with their times, and one
- * last line may state the outcome that a replay is compared with.
+ * The trace format, version 1: JSON lines. The first line describes the recorded
+ * process, the next lines are its events with their times, and an optional last
+ * line contains the expected outcome of a replay.
  */
 import { err, ok, type Result } from "neverthrow";
 import * as v from "valibot";
@@ -11,10 +11,10 @@
 import type { Announcement } from "../../membership/common/announcement.ts";
 import type { EditOutcome } from "../../table/common/table_reducer.ts";
 
-/** The only version so far. */
+/** The version of the trace format. */
 export const TRACE_VERSION = 1;
 
-/** Bytes stand as an object with this one key. */
+/** Bytes are encoded as an object with this only key. */
 const BYTES_KEY = "$base64";
 
 /** The first line of a node's recording. */
@@ -32,100 +32,100 @@
   readonly format: "basilpin-trace";
   readonly version: typeof TRACE_VERSION;
   readonly role: "control";
-  /** What the replica started from, its disk included. */
+  /** Options of the replica at its start, including its recovered storage. */
   readonly start: ReplicationOptions;
 }
 
-/** One event as it went into the loop. */
+/** One event, as passed to the event loop's reducer. */
 export interface TraceEvent<E = NodeEvent | ReplicaEvent> {
   /** Wall clock in milliseconds. */
   readonly atMs: number;
   readonly event: E;
 }
 
-/** How one call ended, as its caller saw it. */
+/** The end of one call, as seen by its caller. */
 export interface TracedAnswer {
   readonly exchangeId: string;
-  /** HTTP status; 0 where the connection was dropped. */
+  /** HTTP status; 0 if the connection was closed without an answer. */
   readonly status: number;
   readonly outcome: string;
 }
 
-/** What came of a node's trace. */
+/** The outcome of a node's trace. */
 export interface NodeOutcome {
-  /** In the order in which they went out. */
+  /** In the order of sending. */
   readonly answers: readonly TracedAnswer[];
   /** Attempts sent to other nodes. */
   readonly sentToNodes: number;
-  /** Requests handed to the backend server. */
+  /** Attempts sent to the backend server. */
   readonly sentToBackend: number;
-  /** Calls that are still open at the end. */
+  /** Calls in progress at the end of the trace. */
   readonly open: number;
 }
 
-/** How one operator's edit ended. */
+/** The answer to one operator's edit. */
 export interface TracedEdit {
   readonly editId: string;
-  /** Type of the outcome; `EditRefused` and `EditUnknown` without one. */
+  /** Type of the outcome; `EditRefused` or `EditUnknown` if there is none. */
   readonly outcome: EditOutcome["type"] | "EditRefused" | "EditUnknown";
-  /** Version that it is in; 0 where it isn't accepted. */
+  /** Table version in the outcome; 0 if there is no outcome, or a conflict. */
   readonly version: number;
 }
 
-/** What came of a control replica's trace. */
+/** The outcome of a control replica's trace. */
 export interface ControlOutcome {
-  /** In the order in which they were answered. */
+  /** In the order of the answers. */
   readonly edits: readonly TracedEdit[];
-  /** Reads of the table: the version, or 0 where it was refused. */
+  /** For each read of the table its version, or 0 if the read was refused. */
   readonly reads: readonly number[];
-  /** Version of the table at the end. */
+  /** Version of the table at the end of the trace. */
   readonly tableVersion: number;
 }
 
-/** What came of a trace. */
+/** The outcome of a trace. */
 export type TraceOutcome = NodeOutcome | ControlOutcome;
 
-/** A whole recording of a node. */
+/** A parsed recording of a node. */
 export interface NodeTrace {
   readonly role: "node";
   readonly header: NodeTraceHeader;
   readonly events: readonly TraceEvent<NodeEvent>[];
-  /** The stated outcome; undefined where the trace has none. */
+  /** The expected outcome; undefined if the trace has none. */
   readonly expected: NodeOutcome | undefined;
 }
 
-/** A whole recording of a control replica. */
+/** A parsed recording of a control replica. */
 export interface ControlTrace {
   readonly role: "control";
   readonly header: ControlTraceHeader;
   readonly events: readonly TraceEvent<ReplicaEvent>[];
-  /** The stated outcome; undefined where the trace has none. */
+  /** The expected outcome; undefined if the trace has none. */
   readonly expected: ControlOutcome | undefined;
 }
 
-/** A whole recording. */
+/** A parsed recording. */
 export type Trace = NodeTrace | ControlTrace;
 
-/** The first line. */
+/** The first line of a trace. */
 export type TraceHeader = Trace["header"];
 
-/** A line that can't be read. */
+/** A line that can't be parsed. */
 export interface TraceFault {
   readonly type: "TraceFault";
-  /** From 1. */
+  /** Line number; the first line is 1. */
   readonly line: number;
   readonly reason: string;
 }
 
-const BYTES = v.instance(Uint8Array);
+const BYTES_SCHEMA = v.instance(Uint8Array);
 
-const PREFIX = {
+const FORMAT_FIELDS = {
   format: v.literal("basilpin-trace"),
   version: v.literal(TRACE_VERSION),
 };
 
-const NODE_HEADER = v.object({
-  ...PREFIX,
+const NODE_HEADER_SCHEMA = v.object({
+  ...FORMAT_FIELDS,
   role: v.literal("node"),
   backendAddress: v.string(),
   self: v.object({
@@ -144,13 +144,13 @@
   }),
 });
 
-const EVENT = v.strictObject({
+const EVENT_SCHEMA = v.strictObject({
   atMs: v.number(),
   event: v.looseObject({ type: v.string() }),
 });
 
-const CONTROL_HEADER = v.object({
-  ...PREFIX,
+const CONTROL_HEADER_SCHEMA = v.object({
+  ...FORMAT_FIELDS,
   role: v.literal("control"),
   start: v.strictObject({
     cluster: v.strictObject({
@@ -172,20 +172,23 @@
           voters: v.array(v.string()),
           learners: v.array(v.string()),
         }),
-        payload: BYTES,
+        payload: BYTES_SCHEMA,
       })),
       entries: v.array(v.strictObject({
         index: v.number(),
         term: v.number(),
-        payload: BYTES,
+        payload: BYTES_SCHEMA,
       })),
     }),
   }),
 });
 
-const HEADER = v.variant("role", [NODE_HEADER, CONTROL_HEADER]);
+const HEADER_SCHEMA = v.variant("role", [
+  NODE_HEADER_SCHEMA,
+  CONTROL_HEADER_SCHEMA,
+]);
 
-const NODE_EXPECTED = v.strictObject({
+const NODE_EXPECTED_SCHEMA = v.strictObject({
   expected: v.strictObject({
     answers: v.array(v.strictObject({
       exchangeId: v.string(),
@@ -198,7 +201,7 @@
   }),
 });
 
-const CONTROL_EXPECTED = v.strictObject({
+const CONTROL_EXPECTED_SCHEMA = v.strictObject({
   expected: v.strictObject({
     edits: v.array(v.strictObject({
       editId: v.string(),
@@ -210,36 +213,40 @@
   }),
 });
 
-/** Reads a recording; the first bad line ends it. */
+/** Parses a recording; returns the first invalid line as a fault. */
 export function parseTrace(text: string): Result<Trace, TraceFault> {
   const lines = text.split("\n").filter((line) => line.trim() !== "");
-  const header = parseLine(HEADER, lines[0], 1);
+  const header = parseLine(HEADER_SCHEMA, lines[0], 1);
   if (header.isErr()) {
     return err(header.error);
   }
   const { role } = header.value;
-  const stated = role === "node" ? NODE_EXPECTED : CONTROL_EXPECTED;
+  const expectedSchema = role === "node"
+    ? NODE_EXPECTED_SCHEMA
+    : CONTROL_EXPECTED_SCHEMA;
   const events: TraceEvent[] = [];
   let expected: TraceOutcome | undefined;
   for (let i = 1; i < lines.length; i++) {
     const isLast = i === lines.length - 1;
-    const end = isLast ? parseLine(stated, lines[i], i + 1) : undefined;
-    if (end?.isOk()) {
-      expected = end.value.expected as TraceOutcome;
+    const expectedLine = isLast
+      ? parseLine(expectedSchema, lines[i], i + 1)
+      : undefined;
+    if (expectedLine?.isOk()) {
+      expected = expectedLine.value.expected as TraceOutcome;
       continue;
     }
-    const event = parseLine(EVENT, lines[i], i + 1);
+    const event = parseLine(EVENT_SCHEMA, lines[i], i + 1);
     if (event.isErr()) {
       return err(event.error);
     }
     events.push(event.value as unknown as TraceEvent);
   }
-  const fault = checkOrder(events);
+  const fault = checkEventOrder(events);
   const parsed = { role, header: header.value, events, expected } as Trace;
   return fault === undefined ? ok(parsed) : err(fault);
 }
 
-/** Writes one line. */
+/** Formats one line. */
 export function formatTraceLine(
   line: TraceHeader | TraceEvent | { readonly expected: TraceOutcome },
 ): string {
@@ -247,8 +254,8 @@
 }
 
 /**
- * Puts bytes as base64 text; `value` may have passed through the `toJSON` of
- * a Buffer, so the holder is looked at.
+ * Encodes bytes as base64. Reads the property from its object, because `value`
+ * may be the result of a Buffer's `toJSON`.
  */
 function encodeBytes(this: unknown, key: string, value: unknown): unknown {
   const raw = (this as Readonly<Record<string, unknown>>)[key];
@@ -264,7 +271,9 @@
     : value;
 }
 
-function checkOrder(events: readonly TraceEvent[]): TraceFault | undefined {
+function checkEventOrder(
+  events: readonly TraceEvent[],
+): TraceFault | undefined {
   const index = events.findIndex((event, i) =>
     i > 0 && event.atMs < events[i - 1]!.atMs
   );
--- a/src/engine/trace/node/trace_recorder.ts
+++ b/src/engine/trace/node/trace_recorder.ts
@@ -1,20 +1,20 @@
-/** Records the events of a loop to a file, one line each. */
+/** Records the events of an event loop to a file, one line per event. */
 import { createWriteStream } from "node:fs";
 import type { WriteStream } from "node:fs";
 import { formatTraceLine } from "../common/trace_format.ts";
 import type { TraceEvent, TraceHeader } from "../common/trace_format.ts";
 
-/** Owns the file; lines are written in the order in which they came. */
+/** Writes a trace to a file that it owns; lines keep the order of the events. */
 export class TraceRecorder implements AsyncDisposable {
   readonly #stream: WriteStream;
 
-  /** Begins a recording; a file that is there already is replaced. */
+  /** Starts a recording; replaces an existing file. */
   constructor(file: string, header: TraceHeader) {
     this.#stream = createWriteStream(file);
     this.#stream.write(formatTraceLine(header));
   }
 
-  /** Adds an event. */
+  /** Appends an event. */
   record(event: TraceEvent): void {
     this.#stream.write(formatTraceLine(event));
   }
--- a/src/engine/trace/test/trace_test.ts
+++ b/src/engine/trace/test/trace_test.ts
@@ -1,4 +1,4 @@
-/** Recordings: their form, and replays against stated outcomes. */
+/** Trace format, and replays compared with expected outcomes. */
 import { readdirSync, readFileSync } from "node:fs";
 import { join } from "node:path";
 import { expect } from "chai";
@@ -9,9 +9,9 @@
 import { formatTraceLine, parseTrace } from "../common/trace_format.ts";
 import type { TraceHeader } from "../common/trace_format.ts";
 
-const FOLDER = "traces";
+const TRACE_FOLDER = "traces";
 
-/** One recording at least for each fault that the product must stand. */
+/** Faults that the system must tolerate; each needs at least one recording. */
 const RECORDED_FAULTS = [
   "backend_killed",
   "cold_start",
@@ -81,7 +81,7 @@
 });
 
 describe("trace of a control replica", () => {
-  it("brings the bytes of its disk and messages back", () => {
+  it("restores the bytes of its storage and messages", () => {
     const payload = new Uint8Array([0, 255, 10]);
     const header: TraceHeader = {
       format: "basilpin-trace",
@@ -103,7 +103,7 @@
       .to.deep.equal([{ index: 1, term: 1, payload }]);
   });
 
-  it("names each difference from a stated outcome", () => {
+  it("describes each difference from the expected outcome", () => {
     const edit = { editId: "e", outcome: "EditAccepted", version: 2 } as const;
     const outcome = { edits: [edit], reads: [2], tableVersion: 2 };
     expect(compareOutcomes(outcome, outcome)).to.deep.equal([]);
@@ -117,7 +117,7 @@
 });
 
 describe("trace replay", () => {
-  it("gives what the callers of the recorded node saw", async () => {
+  it("reproduces the answers to the callers of the recorded node", async () => {
     await using fleet = new Fleet();
     const trace = join(fleet.folder, "edge.trace");
     await fleet.startControl("control-a", "hall-a");
@@ -133,25 +133,29 @@
       trace,
     });
     await fleet.run("table", "apply", "examples/toy-trust/table.csv", "--wait");
-    const seen: number[] = [];
+    const receivedStatuses: number[] = [];
     for (const path of ["/prices/1", "/prices/2", "/stock/hall-a/1"]) {
       const answer = await request(`http://${edge.edge}${path}`);
       await answer.body.dump();
-      seen.push(answer.statusCode);
+      receivedStatuses.push(answer.statusCode);
     }
-    expect(seen).to.deep.equal([200, 200, 503]);
+    expect(receivedStatuses).to.deep.equal([200, 200, 503]);
     expect(await fleet.stop(edge)).to.equal(0);
     const recorded = parseTrace(readFileSync(trace, "utf8"))._unsafeUnwrap();
     if (recorded.role !== "node") {
-      throw new Error("Not the recording of a node");
+      throw new Error(
+        "Expected the recording of a node, not of a control replica",
+      );
     }
     const { outcome } = replayNode(recorded);
-    expect(outcome.answers.map(({ status }) => status)).to.deep.equal(seen);
+    expect(outcome.answers.map(({ status }) => status)).to.deep.equal(
+      receivedStatuses,
+    );
     expect(outcome.sentToNodes).to.equal(2);
     expect(outcome.open).to.equal(0);
   });
 
-  it("names each difference from a stated outcome", () => {
+  it("describes each difference from the expected outcome", () => {
     const outcome = {
       answers: [{ exchangeId: "a", status: 200, outcome: "ran" }],
       sentToNodes: 1,
@@ -166,18 +170,20 @@
       ]);
   });
 
-  const files = readdirSync(FOLDER).filter((name) => name.endsWith(".trace"));
+  const files = readdirSync(TRACE_FOLDER).filter((name) =>
+    name.endsWith(".trace")
+  );
 
   it("has a recording of every fault", () => {
-    const wanted = RECORDED_FAULTS.map((name) => `${name}.trace`);
-    expect(files).to.include.members(wanted);
+    const requiredFiles = RECORDED_FAULTS.map((name) => `${name}.trace`);
+    expect(files).to.include.members(requiredFiles);
   });
 
   for (const file of files) {
-    it(`comes to the stated outcome of ${file}`, () => {
-      const text = readFileSync(join(FOLDER, file), "utf8");
+    it(`reproduces the expected outcome of ${file}`, () => {
+      const text = readFileSync(join(TRACE_FOLDER, file), "utf8");
       const trace = parseTrace(text)._unsafeUnwrap();
-      expect(trace.expected, "stated outcome").to.not.equal(undefined);
+      expect(trace.expected, "expected outcome").to.not.equal(undefined);
       const { outcome } = replayTrace(trace);
       expect(compareOutcomes(trace.expected!, outcome)).to.deep.equal([]);
     });
