--- a/src/engine/claims/common/claim_reducer.ts
+++ b/src/engine/claims/common/claim_reducer.ts
@@ -27,6 +27,7 @@
 export type ClaimStep = Reduction<ClaimState, ClaimEffect>;
 
 const MAX_ROUNDS = 5;
+/** Delay before the next round, multiplied by the number of rounds so far. */
 const ROUND_BACKOFF_MS = 10;
 
 /** Starts the first voting round for the key of an attempt. */
@@ -55,13 +56,14 @@
   requestId: string,
   reply: ClaimReply | undefined,
 ): ClaimStep {
-  const [kind, attemptId, round, nodeId] = requestId
+  const [kind, attemptId, round, responderId] = requestId
     .slice(CLAIM_REQUEST_PREFIX.length).split("/") as [
       string,
       string,
       string,
       string,
     ];
+  // `responderId` is a node id, or for a check the id of the competing attempt.
   const coordination = state.coordinations.get(attemptId);
   if (coordination === undefined) {
     return createReduction(state);
@@ -69,20 +71,20 @@
   const { phase } = coordination;
   const isCurrent = coordination.round === Number(round);
   if (kind === "vote" && phase === "voting" && isCurrent) {
-    const votes = setEntry(coordination.votes, nodeId, getVote(reply));
+    const votes = setEntry(coordination.votes, responderId, getVote(reply));
     return decideVotes(state, { ...coordination, votes });
   }
   if (kind === "check" && phase === "checking" && isCurrent) {
     const reportedPhase = reply?.type === "ClaimChecked"
       ? reply.phase
       : "unknown";
-    const checks = setEntry(coordination.checks, nodeId, reportedPhase);
+    const checks = setEntry(coordination.checks, responderId, reportedPhase);
     return decideChecks(state, { ...coordination, checks });
   }
   return kind === "outcome"
     ? receiveRecordReply(state, coordination, {
       epoch: round,
-      from: nodeId,
+      from: responderId,
       reply,
     })
     : createReduction(state);
@@ -242,20 +244,20 @@
   coordination: Coordination,
 ): ClaimStep {
   const { checks, claim, round } = coordination;
-  const others = listCompetingClaims(coordination);
+  const competing = listCompetingClaims(coordination);
   const next = putCoordination(state, coordination);
-  if (checks.size < others.length) {
+  if (checks.size < competing.length) {
     return createReduction(next);
   }
   const phases = [...checks.values()];
-  const isKeyTaken = others.some((other) =>
+  const isKeyTaken = competing.some((other) =>
     other.fingerprint !== claim.fingerprint &&
     checks.get(other.attemptId) === "running"
   );
   if (isKeyTaken) {
     return failClaim(next, coordination, { type: "OtherRequest" });
   }
-  const hasLowestId = others.every((other) =>
+  const hasLowestId = competing.every((other) =>
     checks.get(other.attemptId) !== "claiming" ||
     claim.attemptId < other.attemptId
   );
--- a/src/engine/claims/common/claim_state.ts
+++ b/src/engine/claims/common/claim_state.ts
@@ -42,10 +42,11 @@
   readonly outcome: RunOutcome;
   /** Node ids of the holders that acknowledged the outcome. */
   readonly acknowledgedBy: ReadonlySet<string>;
-  /** Node ids of the holders that replied, whether or not they acknowledged. */
+  /** Node ids of the holders whose requests got any reply, or none in time. */
   readonly repliedBy: ReadonlySet<string>;
   /** Whether the answer has been relayed to the caller. */
   readonly isAnswerRelayed: boolean;
+  /** Number of times that the outcome was sent, at most `MAX_SENDS`. */
   readonly sendCount: number;
 }
 
@@ -78,7 +79,10 @@
     readonly attemptId: string;
     readonly verdict: ClaimVerdict;
   }
-  /** The answer may be relayed: a majority recorded the outcome, or none can. */
+  /**
+   * The answer may be relayed: a majority of holders acknowledged the outcome, or
+   * all requests to holders have ended.
+   */
   | { readonly type: "RelayClaimed"; readonly attemptId: string }
   | {
     readonly type: "StartClaimTimer";
--- a/src/engine/claims/common/claim_types.ts
+++ b/src/engine/claims/common/claim_types.ts
@@ -1,4 +1,7 @@
-/** Data types of at-most-once execution: claims, records and holder sets. */
+/**
+ * Data types of at-most-once execution. An attempt runs the request of a key only
+ * once a majority of the key's holders has granted its claim.
+ */
 
 /** The idempotency key of a request, with the request's fingerprint. */
 export interface RequestKey {
@@ -39,7 +42,7 @@
   readonly claims: readonly Claim[];
   /** Set once an attempt has run and its answer is known. */
   readonly outcome: RunOutcome | undefined;
-  /** Wall clock, in milliseconds since the epoch of Unix time. */
+  /** Wall clock of the holder, in milliseconds. */
   readonly expiresAtMs: number;
 }
 
--- a/src/engine/claims/common/holder_reducer.ts
+++ b/src/engine/claims/common/holder_reducer.ts
@@ -290,7 +290,7 @@
   };
 }
 
-/** Merges two records; retains all claims, as any may have had a majority. */
+/** Merges two records; without an outcome any claim may have had a majority. */
 function mergeRecord(records: RecordMap, other: ClaimRecord): RecordMap {
   const own = findRecord(records, other.key);
   if (own === undefined) {
--- a/src/engine/claims/common/outcome_steps.ts
+++ b/src/engine/claims/common/outcome_steps.ts
@@ -129,7 +129,7 @@
   return createReduction(putCoordination(state, coordination), requests);
 }
 
-/** Relays the answer at a majority, or once all holders have replied. */
+/** Relays the answer at a majority, or once all requests have ended. */
 function settleRecording(
   state: ClaimState,
   coordination: Coordination,
