--- a/src/engine/call/common/entry_open.ts
+++ b/src/engine/call/common/entry_open.ts
@@ -1,4 +1,4 @@
-/** Opens entry calls: a root at the edge, a child at the egress. */
+/** Opens entry calls: root requests at the edge, child calls at the egress. */
 import { setEntry } from "../../../base/common/maps.ts";
 import {
   appendEffects,
@@ -14,7 +14,7 @@
 import { checkKey } from "./claim_steps.ts";
 import { decodeContext, MAX_DEPTH } from "./call_context.ts";
 import type { CallContext } from "./call_context.ts";
-import { noteCallee } from "./call_level.ts";
+import { recordCallee } from "./call_level.ts";
 import type { CallReceived, NodeEffect, TimerKey } from "./call_events.ts";
 import { tryAttempt } from "./entry_attempts.ts";
 import { addChild, putEntry } from "./entry_state.ts";
@@ -22,7 +22,8 @@
 import { checkResend } from "./resend_step.ts";
 import type { NodeStep } from "./served_types.ts";
 
-type Opened =
+/** Result of opening a call: its context, or an answer that rejects it. */
+type OpenResult =
   | {
     readonly type: "Opened";
     readonly state: NodeState;
@@ -31,7 +32,7 @@
   }
   | { readonly type: "Rejected"; readonly answer: OwnAnswer };
 
-/** Takes a call from a caller (edge) or the local backend server (egress). */
+/** Receives a call from a caller or from the local backend server. */
 export function receiveEntry(
   state: NodeState,
   received: CallReceived,
@@ -39,7 +40,7 @@
 ): NodeStep {
   const row = selectRow(state.table, received);
   if (row === undefined) {
-    return answerUnread(state, received, {
+    return answerImmediately(state, received, {
       status: 404,
       outcome: "not-run",
       message:
@@ -48,7 +49,7 @@
     });
   }
   if ((received.bodyBytes ?? 0) > row.maxBodyBytes) {
-    return answerUnread(state, received, {
+    return answerImmediately(state, received, {
       status: 413,
       outcome: "not-run",
       message:
@@ -57,7 +58,7 @@
   }
   const refusal = checkKey(row, received.requestKey);
   if (refusal !== undefined) {
-    return answerUnread(state, received, refusal);
+    return answerImmediately(state, received, refusal);
   }
   const checked = checkResend(state, received, row, nowMs);
   return checked.refusal === undefined
@@ -72,7 +73,7 @@
   refusal: OwnAnswer,
 ): NodeStep {
   const { kind, importance } = row;
-  return appendEffects(answerUnread(state, received, refusal), {
+  return appendEffects(answerImmediately(state, received, refusal), {
     type: "RecordEvent",
     event: {
       type: "CallRefused",
@@ -98,7 +99,7 @@
     ? openRoot(state, received, row, nowMs)
     : openChild(state, received, row, nowMs);
   if (opened.type === "Rejected") {
-    return answerUnread(state, received, opened.answer);
+    return answerImmediately(state, received, opened.answer);
   }
   const { context, parentId } = opened;
   const deadlineMs = nowMs + Math.min(context.remainingMs, row.timeoutMs);
@@ -144,7 +145,7 @@
   received: CallReceived,
   row: TableRow,
   nowMs: number,
-): Opened {
+): OpenResult {
   const { exchangeId, admissionKey } = received;
   const context: CallContext = {
     rootId: exchangeId,
@@ -152,7 +153,7 @@
     importance: row.importance,
     admissionHash: computeAdmissionHash({
       key: admissionKey ?? exchangeId,
-      share: computeShare(state, row),
+      share: computeRelativeWeight(state, row),
       nowMs,
     }),
     depth: 0,
@@ -162,8 +163,11 @@
   return { type: "Opened", state, context, parentId: undefined };
 }
 
-/** Weight of a kind over the greatest of its service and importance. */
-function computeShare(state: NodeState, row: TableRow): number {
+/**
+ * Computes the weight of a kind relative to the greatest weight among the kinds
+ * of the same service and importance.
+ */
+function computeRelativeWeight(state: NodeState, row: TableRow): number {
   const { service, importance, weight } = row;
   const weights = state.table.rows
     .filter((r) => r.service === service && r.importance === importance)
@@ -171,13 +175,16 @@
   return weight / Math.max(weight, ...weights);
 }
 
-/** A call of the local backend server draws on the attempt that it serves. */
+/**
+ * Opens a call of the local backend server. It gets its deadline and a share of
+ * the retry tokens from the served attempt that made it.
+ */
 function openChild(
   state: NodeState,
   received: CallReceived,
   row: TableRow,
   nowMs: number,
-): Opened {
+): OpenResult {
   if (received.contextHeader === undefined) {
     return openRoot(state, received, { ...row, retries: 0 }, nowMs);
   }
@@ -204,14 +211,15 @@
     retryTokens: share,
   };
   const next = addChild(
-    noteCallee({ ...state, served }, called, nowMs),
+    recordCallee({ ...state, served }, called, nowMs),
     parent.attemptId,
     received.exchangeId,
   );
   return { type: "Opened", state: next, context, parentId: parent.attemptId };
 }
 
-function answerUnread(
+/** Answers a call that was not opened. */
+function answerImmediately(
   state: NodeState,
   received: CallReceived,
   answer: OwnAnswer,
--- a/src/engine/call/common/served_claims.ts
+++ b/src/engine/call/common/served_claims.ts
@@ -1,4 +1,4 @@
-/** Carries out what the claims of served attempts come to. */
+/** Carries out the decisions on the claims of served attempts. */
 import { assertNever } from "../../../base/common/never.ts";
 import { setEntry } from "../../../base/common/maps.ts";
 import {
@@ -31,10 +31,11 @@
 import { refuseServed, sendServed, settleServed } from "./served_steps.ts";
 import type { NodeStep, ServedDeps } from "./served_types.ts";
 
+/** Delay after which a caller may send the request of a key again. */
 const RETRY_AFTER_MS = 1_000;
 
-/** Takes the reply to a question about claims. */
-export function takeHolderReply(
+/** Handles a holder's reply, or its timeout. */
+export function receiveHolderReply(
   state: NodeState,
   requestId: string,
   reply: ClaimReply | undefined,
@@ -43,8 +44,8 @@
   return applySteps(state, receiveReply(state.claims, requestId, reply), deps);
 }
 
-/** Takes the holder sets that control told. */
-export function takeHolderSets(
+/** Applies the holder sets that control sent; ignores other services'. */
+export function receiveHolderSets(
   state: NodeState,
   sets: HolderSets,
   deps: ServedDeps,
@@ -55,7 +56,7 @@
   return applySteps(state, receiveSets(state.claims, sets, state.self), deps);
 }
 
-/** Time has passed. */
+/** Runs the periodic work of claims. */
 export function tickServedClaims(
   state: NodeState,
   deps: ServedDeps,
@@ -64,7 +65,7 @@
   return applySteps(state, step, deps);
 }
 
-/** The pause of a claim is over. */
+/** Resumes a claim after the pause between two rounds. */
 export function resumeServed(
   state: NodeState,
   attemptId: string,
@@ -75,8 +76,11 @@
   return applySteps(state, step, deps);
 }
 
-/** The whole answer of a claimed attempt is here: the holders come first. */
-export function keepAnswer(
+/**
+ * Records the complete answer of a claimed attempt with the holders, before it
+ * is relayed.
+ */
+export function recordAnswer(
   state: NodeState,
   attemptId: string,
   collected: {
@@ -90,8 +94,11 @@
     return createReduction(state, [{ type: "DiscardAnswer", attemptId }]);
   }
   const { status, answer } = collected;
-  const held = { ...call, collectedStatus: status };
-  const next = { ...state, served: setEntry(state.served, attemptId, held) };
+  const buffered = { ...call, collectedStatus: status };
+  const next = {
+    ...state,
+    served: setEntry(state.served, attemptId, buffered),
+  };
   const { claims } = next;
   const step = applyClaimStep(
     claims,
@@ -106,8 +113,8 @@
   deps: ServedDeps,
 ): NodeStep {
   return step.effects.reduce<NodeStep>(
-    (done, effect) =>
-      chainReduction(done, (next) => applyEffect(next, effect, deps)),
+    (previous, effect) =>
+      chainReduction(previous, (next) => applyEffect(next, effect, deps)),
     createReduction({ ...state, claims: step.state }),
   );
 }
@@ -141,6 +148,7 @@
   }
 }
 
+/** Relays a recorded answer; without a caller, it only ends the attempt. */
 function relayClaimed(
   state: NodeState,
   attemptId: string,
@@ -154,10 +162,11 @@
     const step = endServed(state, attemptId, true, deps);
     return appendEffects(step, { type: "DiscardAnswer", attemptId });
   }
-  const answer = createHead(call.collectedStatus);
+  const answer = createAnswerHead(call.collectedStatus);
   return answerServed(state, attemptId, answer, deps);
 }
 
+/** Answers an attempt that did not win its claim. */
 function settleClaim(
   state: NodeState,
   attemptId: string,
@@ -169,20 +178,22 @@
     const provide: NodeEffect = { type: "ProvideAnswer", attemptId, answer };
     return chainReduction(
       createReduction<NodeState, NodeEffect>(state, [provide]),
-      (next) => answerServed(next, attemptId, createHead(answer.status), deps),
+      (next) =>
+        answerServed(next, attemptId, createAnswerHead(answer.status), deps),
     );
   }
-  const answer = createRefusal(verdict);
+  const answer = createVerdictAnswer(verdict);
   return answer.outcome === "not-run"
     ? refuseServed(state, attemptId, answer, deps)
     : settleServed(state, attemptId, answer, deps);
 }
 
-function createHead(status: number): AttemptAnswer {
+/** Creates the head of an answer that this node already has. */
+function createAnswerHead(status: number): AttemptAnswer {
   return { status, outcome: "ran", tokens: 0, isDraining: false };
 }
 
-function createRefusal(
+function createVerdictAnswer(
   verdict: Exclude<ClaimVerdict, { type: "Answered" }>,
 ): OwnAnswer {
   switch (verdict.type) {
--- a/src/engine/call/test/node_network.ts
+++ b/src/engine/call/test/node_network.ts
@@ -1,4 +1,4 @@
-/** Several real node reducers joined by a fake network, for tests. */
+/** Node reducers connected by a fake network, for tests. */
 import type { Announcement } from "../../membership/common/announcement.ts";
 import type { VersionedRow } from "../../table/common/table_row.ts";
 import { encodeContext } from "../common/call_context.ts";
@@ -47,13 +47,13 @@
   };
 }
 
-/** Creates a node that holds `row` and knows `members`. */
+/** Creates a node whose table holds `row` and whose service has `members`. */
 export function createNode(
   self: Announcement,
   row: VersionedRow,
   members: readonly Announcement[],
 ): NodeState {
-  const start = createNodeState(self, `${self.nodeId}:backend`);
+  const initial = createNodeState(self, `${self.nodeId}:backend`);
   const table = { version: 1, rows: [row] };
   const events: readonly NodeEvent[] = [
     { type: "TableReceived", table, isConfirmed: true },
@@ -61,50 +61,69 @@
   ];
   return events.reduce(
     (state, event) => reduceNode(state, event, 0).state,
-    start,
+    initial,
   );
 }
 
-/** Decides what the network and the backend servers do. */
+/** Controls the behaviour of the network and of the backend servers. */
 export interface NetworkChoices {
-  /** Called with what a backend server is to run. */
+  /** Called for each attempt that is sent to a backend server. */
   readonly runBackend: (network: NodeNetwork, run: BackendRun) => void;
-  /** "late" arrives after all else, when its sender has given it up. */
-  readonly loseRequest?: () => "lost" | "late" | undefined;
+  /**
+   * Whether a request between nodes is lost. A "late" request is delivered
+   * once no other event is queued, after its sender has seen it fail.
+   */
+  readonly chooseRequestLoss?: () => "lost" | "late" | undefined;
+  /** Whether an answer between nodes is lost. */
   readonly isAnswerLost: () => boolean;
+  /** Whether the reply to a peer message is lost. */
   readonly isReplyLost: () => boolean;
 }
 
-/** One run at a backend server. */
+/** One attempt sent to a backend server. */
 export interface BackendRun {
+  /** The node beside the backend server. */
   readonly nodeId: string;
+  /** The effect that sent the attempt. */
   readonly send: SendAttempt;
 }
 
-/** An answer to an exchange that the test opened. */
-export interface SeenAnswer {
+/** The answer to a call made by the test; both undefined if it was cut off. */
+export interface ObservedAnswer {
   readonly status: number | undefined;
   readonly outcome: CallOutcome | undefined;
 }
 
+/** The attempt that opened an ingress exchange. */
 interface Hop {
   readonly senderId: string;
   readonly attemptId: string;
 }
 
-/** Joins nodes; events wait in a queue until `run`. */
+/** Connects nodes; events are queued until `run` is called. */
 export class NodeNetwork {
   readonly nodes = new Map<string, NodeState>();
-  readonly sent: string[] = [];
-  readonly answers = new Map<string, SeenAnswer>();
+  /** Ids of all attempts that the nodes recorded as sent. */
+  readonly sentAttemptIds: string[] = [];
+  /** By exchange id. */
+  readonly answers = new Map<string, ObservedAnswer>();
   nowMs = 1_000_000;
   readonly #choices: NetworkChoices;
+  /** Events with the node that they are for. */
   readonly #queue: (readonly [string, NodeEvent])[] = [];
-  readonly #late: (readonly [string, NodeEvent])[] = [];
+  /** Delivered once `#queue` is empty. */
+  readonly #lateQueue: (readonly [string, NodeEvent])[] = [];
+  /** By exchange id at the receiver. */
   readonly #hops = new Map<string, Hop>();
-  readonly #exchangeOf = new Map<string, readonly [string, string]>();
-  readonly #waiting = new Map<string, () => void>();
-  readonly #asks = new Map<number, { senderId: string; requestId: string }>();
+  /** Receiver and its exchange id, by attempt id. */
+  readonly #exchangeOfAttempt = new Map<string, readonly [string, string]>();
+  /** Callbacks for the answers of calls, by exchange id. */
+  readonly #answerCallbacks = new Map<string, () => void>();
+  /** Sender and request id of each peer message, by `askId`. */
+  readonly #pendingAsks = new Map<
+    number,
+    { senderId: string; requestId: string }
+  >();
   #nextId = 0;
 
   constructor(row: VersionedRow, count: number, choices: NetworkChoices) {
@@ -115,12 +134,12 @@
     }
   }
 
-  /** Queues an event at a node. */
-  post(nodeId: string, event: NodeEvent): void {
+  /** Enqueues an event for a node. */
+  enqueueEvent(nodeId: string, event: NodeEvent): void {
     this.#queue.push([nodeId, event]);
   }
 
-  /** Queues a call and returns the id of its exchange. */
+  /** Enqueues a call and returns its exchange id. */
   call(
     nodeId: string,
     listener: "edge" | "egress",
@@ -131,15 +150,15 @@
     return exchangeId;
   }
 
-  /** Calls `then` once an exchange of the test has its answer. */
-  waitAnswer(exchangeId: string, then: () => void): void {
-    this.#waiting.set(exchangeId, then);
+  /** Calls `then` once a call made by the test has been answered. */
+  notifyOnAnswer(exchangeId: string, then: () => void): void {
+    this.#answerCallbacks.set(exchangeId, then);
   }
 
-  /** Runs until nothing is left to do. */
+  /** Applies events until none is queued. */
   run(): void {
-    const take = () => this.#queue.shift() ?? this.#late.shift();
-    for (let next = take(); next; next = take()) {
+    const dequeue = () => this.#queue.shift() ?? this.#lateQueue.shift();
+    for (let next = dequeue(); next; next = dequeue()) {
       const [nodeId, event] = next;
       const state = this.nodes.get(nodeId)!;
       const step = reduceNode(state, event, this.nowMs);
@@ -156,7 +175,7 @@
     listener: "edge" | "egress" | "ingress",
     contextHeader: string | undefined,
   ): void {
-    this.post(nodeId, {
+    this.enqueueEvent(nodeId, {
       type: "CallReceived",
       exchangeId,
       listener,
@@ -172,41 +191,42 @@
     switch (effect.type) {
       case "RecordEvent":
         if (effect.event.type === "AttemptSent") {
-          this.sent.push(effect.event.attemptId);
+          this.sentAttemptIds.push(effect.event.attemptId);
         }
         return;
       case "SendAttempt":
         this.#send(nodeId, effect);
         return;
       case "ProbeBackend":
-        this.post(nodeId, { type: "BackendProbed", isAlive: true });
+        this.enqueueEvent(nodeId, { type: "BackendProbed", isAlive: true });
         return;
       case "AnswerCall":
-        this.#answer(effect.exchangeId, effect.status, effect.headers);
+        this.#deliverAnswer(effect.exchangeId, effect.status, effect.headers);
         return;
       case "RelayAnswer":
-        this.#answer(effect.exchangeId, 200, effect.headers);
-        this.post(nodeId, {
+        this.#deliverAnswer(effect.exchangeId, 200, effect.headers);
+        this.enqueueEvent(nodeId, {
           type: "AttemptEnded",
           attemptId: effect.attemptId,
         });
         return;
       case "DropExchange":
-        this.#finish(effect.exchangeId, undefined, undefined);
+        this.#recordAnswer(effect.exchangeId, undefined, undefined);
         return;
       case "AbortAttempt": {
-        const [peerId, exchangeId] = this.#exchangeOf.get(effect.attemptId) ??
-          [];
+        const [peerId, exchangeId] =
+          this.#exchangeOfAttempt.get(effect.attemptId) ??
+            [];
         if (peerId !== undefined && exchangeId !== undefined) {
-          this.post(peerId, { type: "CallerLeft", exchangeId });
+          this.enqueueEvent(peerId, { type: "CallerLeft", exchangeId });
         }
         return;
       }
       case "AskPeer": {
         const askId = this.#nextId++;
         const { requestId, address, message } = effect;
-        this.#asks.set(askId, { senderId: nodeId, requestId });
-        this.post(address.split(":")[0]!, {
+        this.#pendingAsks.set(askId, { senderId: nodeId, requestId });
+        this.enqueueEvent(address.split(":")[0]!, {
           type: "PeerAsked",
           askId,
           message,
@@ -214,9 +234,9 @@
         return;
       }
       case "AnswerPeer": {
-        const { senderId, requestId } = this.#asks.get(effect.askId)!;
+        const { senderId, requestId } = this.#pendingAsks.get(effect.askId)!;
         const reply = this.#choices.isReplyLost() ? undefined : effect.reply;
-        this.post(senderId, { type: "PeerReplied", requestId, reply });
+        this.enqueueEvent(senderId, { type: "PeerReplied", requestId, reply });
         return;
       }
     }
@@ -231,22 +251,22 @@
     const exchangeId = `x${this.#nextId++}`;
     this.#hops.set(exchangeId, { senderId: nodeId, attemptId });
     const peerId = address.split(":")[0]!;
-    this.#exchangeOf.set(attemptId, [peerId, exchangeId]);
+    this.#exchangeOfAttempt.set(attemptId, [peerId, exchangeId]);
     this.#receive(peerId, exchangeId, "ingress", encodeContext(context));
-    const loss = this.#choices.loseRequest?.();
+    const loss = this.#choices.chooseRequestLoss?.();
     if (loss === undefined) {
       return;
     }
-    const arrival = this.#queue.pop()!;
+    const request = this.#queue.pop()!;
     if (loss === "late") {
-      this.#late.push(arrival);
+      this.#lateQueue.push(request);
     }
     const reason = "lost";
     const type = "AttemptFailed";
-    this.post(nodeId, { type, attemptId, isSent: true, reason });
+    this.enqueueEvent(nodeId, { type, attemptId, isSent: true, reason });
   }
 
-  #answer(
+  #deliverAnswer(
     exchangeId: string,
     status: number,
     headers: Readonly<Record<string, string>>,
@@ -254,13 +274,13 @@
     const outcome = headers["basilpin-outcome"] as CallOutcome;
     const hop = this.#hops.get(exchangeId);
     if (hop === undefined) {
-      this.#finish(exchangeId, status, outcome);
+      this.#recordAnswer(exchangeId, status, outcome);
       return;
     }
     const { senderId, attemptId } = hop;
     if (this.#choices.isAnswerLost()) {
       const reason = "lost";
-      this.post(senderId, {
+      this.enqueueEvent(senderId, {
         type: "AttemptFailed",
         attemptId,
         isSent: true,
@@ -270,17 +290,17 @@
     }
     const tokens = Number(headers["basilpin-tokens"] ?? 0);
     const answer = { status, outcome, tokens, isDraining: false };
-    this.post(senderId, { type: "AttemptAnswered", attemptId, answer });
-    this.post(senderId, { type: "AttemptEnded", attemptId });
+    this.enqueueEvent(senderId, { type: "AttemptAnswered", attemptId, answer });
+    this.enqueueEvent(senderId, { type: "AttemptEnded", attemptId });
   }
 
-  #finish(
+  #recordAnswer(
     exchangeId: string,
     status: number | undefined,
     outcome: CallOutcome | undefined,
   ): void {
     this.answers.set(exchangeId, { status, outcome });
-    this.#waiting.get(exchangeId)?.();
-    this.#waiting.delete(exchangeId);
+    this.#answerCallbacks.get(exchangeId)?.();
+    this.#answerCallbacks.delete(exchangeId);
   }
 }
--- a/src/engine/mesh/node/frame_writer.ts
+++ b/src/engine/mesh/node/frame_writer.ts
@@ -1,19 +1,22 @@
-/** Sends the frames of one turn of the event loop as one message. */
+/** Encodes and decodes messages; sends the frames of one event loop turn as one. */
 import { Packr } from "msgpackr";
 import type { WebSocket } from "ws";
 import { flattenFrame, parseFrame } from "../common/frames.ts";
 import type { MeshFrame } from "../common/frames.ts";
 
 const PACKR = new Packr({ useRecords: false });
-/** A message is closed at this size, so that none nears the largest taken. */
-const MESSAGE_BYTES = 1_048_576;
+/**
+ * A message is sent at this size of bodies, so that none nears the largest
+ * message that the peer accepts.
+ */
+const FLUSH_THRESHOLD_BYTES = 1_048_576;
 
-/** Collects frames until the turn ends: one system call for all of them. */
+/** Batches the frames of one event loop turn into one system call. */
 export class FrameWriter {
   readonly #socket: WebSocket;
   readonly #readClock: () => number;
-  #frames: MeshFrame[] = [];
-  #bytes = 0;
+  #pendingFrames: MeshFrame[] = [];
+  #pendingBodyBytes = 0;
   #isScheduled = false;
 
   constructor(socket: WebSocket, readClock: () => number) {
@@ -21,16 +24,16 @@
     this.#readClock = readClock;
   }
 
-  /** Bytes that the socket has not taken yet. */
+  /** Bytes that the socket has not written yet. */
   get bufferedBytes(): number {
-    return this.#socket.bufferedAmount + this.#bytes;
+    return this.#socket.bufferedAmount + this.#pendingBodyBytes;
   }
 
-  /** Sends a frame with the others of this turn. */
+  /** Sends a frame with the others of this turn of the event loop. */
   write(frame: MeshFrame): void {
-    this.#frames.push(frame);
-    this.#bytes += measureBody(frame);
-    if (this.#bytes >= MESSAGE_BYTES) {
+    this.#pendingFrames.push(frame);
+    this.#pendingBodyBytes += measureBodyBytes(frame);
+    if (this.#pendingBodyBytes >= FLUSH_THRESHOLD_BYTES) {
       this.#flush();
     } else if (!this.#isScheduled) {
       this.#isScheduled = true;
@@ -42,42 +45,47 @@
   }
 
   #flush(): void {
-    if (this.#frames.length === 0) {
+    if (this.#pendingFrames.length === 0) {
       return;
     }
     const sentAtMs = Math.floor(this.#readClock());
-    const lists = this.#frames.map((frame) => flattenFrame(frame, sentAtMs));
-    const bytes = PACKR.pack([sentAtMs, ...lists]);
-    this.#frames = [];
-    this.#bytes = 0;
+    const encodedFrames = this.#pendingFrames.map((frame) =>
+      flattenFrame(frame, sentAtMs)
+    );
+    const bytes = PACKR.pack([sentAtMs, ...encodedFrames]);
+    this.#pendingFrames = [];
+    this.#pendingBodyBytes = 0;
     if (this.#socket.readyState === this.#socket.OPEN) {
       this.#socket.send(bytes);
     }
   }
 }
 
-/** Tells when a message arrived; its sender's clock counts from any time. */
-export type DateArrival = (sentAtMs: number) => number;
+/**
+ * Computes when a message arrived, by the receiver's clock. The zero of the
+ * sender's clock is arbitrary.
+ */
+export type ComputeArrivalMs = (sentAtMs: number) => number;
 
-/** Reads the frames of a message; undefined where the bytes are none. */
+/** Decodes the frames of a message; undefined if it is malformed. */
 export function decodeMessage(
   bytes: Uint8Array,
-  dateArrival: DateArrival,
+  computeArrivalMs: ComputeArrivalMs,
 ): readonly MeshFrame[] | undefined {
   try {
-    const [sentAtMs, ...lists] = PACKR.unpack(bytes) as readonly [
+    const [sentAtMs, ...encodedFrames] = PACKR.unpack(bytes) as readonly [
       number,
       ...(readonly unknown[])[],
     ];
-    const arrivedAtMs = dateArrival(sentAtMs);
-    return lists.map((fields) => parseFrame(fields, arrivedAtMs))
+    const arrivedAtMs = computeArrivalMs(sentAtMs);
+    return encodedFrames.map((fields) => parseFrame(fields, arrivedAtMs))
       .filter((frame) => frame !== undefined);
   } catch {
     return undefined;
   }
 }
 
-function measureBody(frame: MeshFrame): number {
+function measureBodyBytes(frame: MeshFrame): number {
   switch (frame.type) {
     case "CallOpened":
     case "AnswerOpened":
--- a/src/engine/mesh/node/mesh_server.ts
+++ b/src/engine/mesh/node/mesh_server.ts
@@ -1,4 +1,4 @@
-/** The links that other nodes open to this one. */
+/** Links that other nodes open to this one. */
 import { createServer } from "node:http";
 import type { Server } from "node:http";
 import { WebSocketServer } from "ws";
@@ -11,39 +11,43 @@
 import { decodeMessage, FrameWriter } from "./frame_writer.ts";
 import { MAX_MESSAGE_BYTES } from "./mesh_client.ts";
 
-/** What the server is built from. */
+/** What the server depends on. */
 export interface MeshServerOptions {
   readonly address: ListenAddress;
-  /** `delayMs`: how much longer than usual the message was on its way. */
+  /**
+   * Called with the frames of a message, which was `delayMs` longer in transit
+   * than usual.
+   */
   readonly onFrames: (
     link: number,
     frames: readonly MeshFrame[],
     delayMs: number,
   ) => void;
   readonly onClosed: (link: number) => void;
-  /** Whether calls of a link are in progress: it must not fall silent. */
+  /** Whether calls of a link are in progress, which keep the reports going. */
   readonly hasCalls: (link: number) => boolean;
-  /** How often the load is said on links in use, in milliseconds. */
-  readonly reportMs: number;
-  /** Made anew for each report. */
+  /** Interval of load reports on links in use, in milliseconds. */
+  readonly reportIntervalMs: number;
+  /** Creates the next report, sent on all links in use. */
   readonly createReport: () => LoadReported;
+  /** Steady clock, in milliseconds. */
   readonly readClock: () => number;
 }
 
 interface AcceptedLink {
   readonly socket: WebSocket;
   readonly writer: FrameWriter;
-  readonly delay: TransitDelay;
-  /** Whether it was heard since the last report. */
-  isActive: boolean;
-  /** Whether an answer, which has the load too, was sent since then. */
-  hasAnswered: boolean;
+  readonly transitDelay: TransitDelay;
+  /** Whether a message was received since the last report, or it is new. */
+  hasReceived: boolean;
+  /** Whether an answer, which carries the load, was sent since then. */
+  hasSentLoad: boolean;
 }
 
-/** A link whose peer takes nothing is closed beyond this many bytes. */
+/** A link is closed if its peer leaves more than this many bytes unread. */
 const MAX_BUFFERED_BYTES = 33_554_432;
 
-/** Accepts links and tells them apart by number. */
+/** Accepts links, and identifies them by number. */
 export class MeshServer implements AsyncDisposable {
   readonly #options: MeshServerOptions;
   readonly #http: Server;
@@ -63,41 +67,41 @@
     this.#sockets.on("connection", (socket) => this.#accept(socket));
   }
 
-  /** Opens the listener and starts to report. */
+  /** Opens the listener, and starts the periodic reports. */
   async open(): Promise<void> {
     await listen(this.#http, this.#options.address);
-    const { reportMs } = this.#options;
-    this.#stopReports = startTicks(reportMs, () => this.report());
+    const { reportIntervalMs } = this.#options;
+    this.#stopReports = startTicks(reportIntervalMs, () => this.report());
   }
 
-  /** Sends a frame; a closed link is passed over, a clogged one closed. */
+  /** Sends a frame; ignored on a closed link, and closes a congested one. */
   send(link: number, frame: MeshFrame): void {
-    const found = this.#links.get(link);
-    if (found === undefined) {
+    const accepted = this.#links.get(link);
+    if (accepted === undefined) {
       return;
     }
-    if (found.writer.bufferedBytes > MAX_BUFFERED_BYTES) {
-      found.socket.terminate();
+    if (accepted.writer.bufferedBytes > MAX_BUFFERED_BYTES) {
+      accepted.socket.terminate();
       return;
     }
-    found.hasAnswered = true;
-    found.writer.write(frame);
+    accepted.hasSentLoad = true;
+    accepted.writer.write(frame);
   }
 
-  /** Says the load on links in use that have not heard it otherwise. */
+  /** Reports the load on links in use where no answer has carried it. */
   report(): void {
     const report = this.#options.createReport();
-    const hasMore = (report.below?.length ?? 0) > 0 ||
+    const hasMoreThanLoad = (report.below?.length ?? 0) > 0 ||
       report.callers.length > 0;
     for (const [number, link] of this.#links) {
-      const isUsed = link.isActive || this.#options.hasCalls(number);
-      // The answers of a busy link say the load: a report would wake both ends
-      // for nothing, ten times a second and link.
-      if (isUsed && (hasMore || !link.hasAnswered)) {
+      const isInUse = link.hasReceived || this.#options.hasCalls(number);
+      // The answers on a busy link carry the load: reports would wake both ends
+      // for nothing, ten times a second for each link.
+      if (isInUse && (hasMoreThanLoad || !link.hasSentLoad)) {
         link.writer.write(report);
       }
-      link.isActive = false;
-      link.hasAnswered = false;
+      link.hasReceived = false;
+      link.hasSentLoad = false;
     }
   }
 
@@ -116,17 +120,17 @@
     const link = {
       socket,
       writer: new FrameWriter(socket, this.#options.readClock),
-      delay: new TransitDelay(),
-      isActive: true,
-      hasAnswered: false,
+      transitDelay: new TransitDelay(),
+      hasReceived: true,
+      hasSentLoad: false,
     };
     this.#links.set(number, link);
     socket.on("message", (data: Buffer) => {
-      link.isActive = true;
+      link.hasReceived = true;
       const nowMs = this.#options.readClock();
       let delayMs = 0;
       const frames = decodeMessage(data, (sentAtMs) => {
-        delayMs = link.delay.measure(sentAtMs, nowMs);
+        delayMs = link.transitDelay.measure(sentAtMs, nowMs);
         return nowMs - delayMs;
       });
       if (frames === undefined) {
