--- a/src/engine/table/common/table_row.ts
+++ b/src/engine/table/common/table_row.ts
@@ -1,6 +1,6 @@
 /** Data types of the operators' table. */
 
-/** Whether requests of a kind may or must have an idempotency key. */
+/** How the idempotency key of a request is treated. */
 export type KeyRule = "none" | "optional" | "required";
 
 /** One kind of request: its matching rule, priority and limits. */
@@ -29,7 +29,7 @@
   readonly retries: number;
   /** Whether a request may safely run more than once. */
   readonly idempotent: boolean;
-  /** Whether requests have an `Idempotency-Key` header. */
+  /** How an `Idempotency-Key` header is treated. */
   readonly key: KeyRule;
   /** Maximum size of a request body. */
   readonly maxBodyBytes: number;
