--- a/src/daemon/relay_daemon.ts
+++ b/src/daemon/relay_daemon.ts
@@ -143,7 +143,7 @@
         this.#tree.hear(address, report, readSteadyMs()),
       recordAttempt: (service, cause) => metrics.countAttempt(service, cause),
       recordCallDuration: (route, elapsedMs) =>
-        metrics.noteDuration(route, elapsedMs),
+        metrics.recordDuration(route, elapsedMs),
     });
     this.#meshServer = this.#owned.use(this.#createMeshServer());
     this.#access = new KeyAccess({
--- a/src/engine/call/common/claim_steps.ts
+++ b/src/engine/call/common/claim_steps.ts
@@ -7,14 +7,17 @@
 import type { Reduction } from "../../../base/common/reduction.ts";
 import {
   checkClaim,
-  hasWon,
+  hasWonClaim,
   withdrawClaim,
 } from "../../claims/common/claim_reducer.ts";
 import { MAX_KEY_LENGTH } from "../../claims/common/claim_types.ts";
 import type { RequestKey } from "../../claims/common/claim_types.ts";
-import { applyOwn, claimAttempt } from "../../claims/common/node_claims.ts";
+import {
+  applyClaimStep,
+  claimAttempt,
+} from "../../claims/common/node_claims.ts";
 import type { NodeClaims } from "../../claims/common/node_claims.ts";
-import { forgetRun } from "../../claims/common/outcome_steps.ts";
+import { discardClaim } from "../../claims/common/outcome_steps.ts";
 import type { TableRow } from "../../table/common/table_row.ts";
 import type { OwnAnswer } from "./answers.ts";
 import type { NodeEffect } from "./call_events.ts";
@@ -75,12 +78,12 @@
 
 /** Whether the claim of an attempt is still undecided. */
 export function isClaiming(state: NodeState, attemptId: string): boolean {
-  return checkClaim(state.claims.own, attemptId) === "claiming";
+  return checkClaim(state.claims.claimant, attemptId) === "claiming";
 }
 
 /** Whether an attempt has won its claim: it runs, or has run. */
 export function isClaimWon(state: NodeState, attemptId: string): boolean {
-  return hasWon(state.claims.own, attemptId);
+  return hasWonClaim(state.claims.claimant, attemptId);
 }
 
 /** Releases the claim of an attempt that did not reach the backend server. */
@@ -88,22 +91,22 @@
   const { claims } = state;
   return applyClaims(
     state,
-    applyOwn(claims, withdrawClaim(claims.own, attemptId)),
+    applyClaimStep(claims, withdrawClaim(claims.claimant, attemptId)),
   );
 }
 
 /** Ends the claim of an attempt that ended; releases one that was not won. */
 export function endClaim(state: NodeState, attemptId: string): Step {
   const { claims } = state;
-  const coordination = claims.own.coordinations.get(attemptId);
+  const coordination = claims.claimant.coordinations.get(attemptId);
   if (coordination === undefined || coordination.phase === "recording") {
     return createReduction(state);
   }
   if (coordination.phase !== "running") {
     return withdrawServedClaim(state, attemptId);
   }
-  const own = forgetRun(claims.own, attemptId);
-  return createReduction({ ...state, claims: { ...claims, own } });
+  const claimant = discardClaim(claims.claimant, attemptId);
+  return createReduction({ ...state, claims: { ...claims, claimant } });
 }
 
 /** Applies a step of the claims whose only effects are messages to holders. */
--- a/src/engine/call/common/node_reducer.ts
+++ b/src/engine/call/common/node_reducer.ts
@@ -4,7 +4,7 @@
   appendEffects,
   chainReduction,
 } from "../../../base/common/reduction.ts";
-import { CLAIM_PREFIX } from "../../claims/common/claim_messages.ts";
+import { CLAIM_REQUEST_PREFIX } from "../../claims/common/claim_messages.ts";
 import type { ClaimReply } from "../../claims/common/claim_messages.ts";
 import { computeLoadHint } from "../../routing/common/load_hint.ts";
 import { QUARANTINE_PREFIX } from "../../quarantine/common/quarantine_messages.ts";
@@ -167,7 +167,7 @@
       deps,
     );
   }
-  return requestId.startsWith(CLAIM_PREFIX)
+  return requestId.startsWith(CLAIM_REQUEST_PREFIX)
     ? receiveHolderReply(
       state,
       requestId,
--- a/src/engine/call/common/served_claims.ts
+++ b/src/engine/call/common/served_claims.ts
@@ -8,22 +8,22 @@
 } from "../../../base/common/reduction.ts";
 import type { ClaimReply } from "../../claims/common/claim_messages.ts";
 import { resumeClaim } from "../../claims/common/claim_reducer.ts";
-import type { Verdict } from "../../claims/common/claim_state.ts";
+import type { ClaimVerdict } from "../../claims/common/claim_state.ts";
 import type {
   HolderSets,
   StoredAnswer,
 } from "../../claims/common/claim_types.ts";
 import {
-  applyOwn,
-  takeReply,
-  takeSets,
+  applyClaimStep,
+  receiveReply,
+  receiveSets,
   tickClaims,
 } from "../../claims/common/node_claims.ts";
 import type {
   NodeClaimEffect,
   NodeClaimStep,
 } from "../../claims/common/node_claims.ts";
-import { recordRun } from "../../claims/common/outcome_steps.ts";
+import { recordRunOutcome } from "../../claims/common/outcome_steps.ts";
 import type { OwnAnswer } from "./answers.ts";
 import type { AttemptAnswer, NodeEffect } from "./call_events.ts";
 import type { NodeState } from "./node_state.ts";
@@ -41,7 +41,7 @@
   reply: ClaimReply | undefined,
   deps: ServedDeps,
 ): NodeStep {
-  return applySteps(state, takeReply(state.claims, requestId, reply), deps);
+  return applySteps(state, receiveReply(state.claims, requestId, reply), deps);
 }
 
 /** Applies the holder sets that control sent; ignores other services'. */
@@ -53,7 +53,7 @@
   if (sets.active.service !== state.self.service) {
     return createReduction(state);
   }
-  return applySteps(state, takeSets(state.claims, sets, state.self), deps);
+  return applySteps(state, receiveSets(state.claims, sets, state.self), deps);
 }
 
 /** Runs the periodic work of claims. */
@@ -72,7 +72,7 @@
   deps: ServedDeps,
 ): NodeStep {
   const { claims } = state;
-  const step = applyOwn(claims, resumeClaim(claims.own, attemptId));
+  const step = applyClaimStep(claims, resumeClaim(claims.claimant, attemptId));
   return applySteps(state, step, deps);
 }
 
@@ -100,7 +100,10 @@
     served: setEntry(state.served, attemptId, buffered),
   };
   const { claims } = next;
-  const step = applyOwn(claims, recordRun(claims.own, attemptId, answer));
+  const step = applyClaimStep(
+    claims,
+    recordRunOutcome(claims.claimant, attemptId, answer),
+  );
   return applySteps(next, step, deps);
 }
 
@@ -167,7 +170,7 @@
 function settleClaim(
   state: NodeState,
   attemptId: string,
-  verdict: Verdict,
+  verdict: ClaimVerdict,
   deps: ServedDeps,
 ): NodeStep {
   if (verdict.type === "Answered") {
@@ -191,7 +194,7 @@
 }
 
 function createVerdictAnswer(
-  verdict: Exclude<Verdict, { type: "Answered" }>,
+  verdict: Exclude<ClaimVerdict, { type: "Answered" }>,
 ): OwnAnswer {
   switch (verdict.type) {
     case "AnswerNotKept":
--- a/src/engine/control/common/holder_planning.ts
+++ b/src/engine/control/common/holder_planning.ts
@@ -2,7 +2,7 @@
  * Plans the holder sets that the leader proposes, from its state of presence.
  */
 import {
-  hasHolders,
+  hasAllHolders,
   planHolders,
 } from "../../claims/common/holder_set_reducer.ts";
 import type { HolderCommand } from "../../claims/common/holder_set_reducer.ts";
@@ -24,7 +24,7 @@
     const members = planHolders(current, nodes, service);
     const retained = (current?.proposed ?? current?.active)?.members ?? [];
     const isAllowed = members !== undefined &&
-      (control.isWarm || hasHolders(members, retained));
+      (control.isWarm || hasAllHolders(members, retained));
     const fromEpoch = current?.lastEpoch ?? 0;
     return isAllowed
       ? [{ type: "HolderSetProposed", service, members, fromEpoch }]
