--- a/src/daemon/relay_control.ts
+++ b/src/daemon/relay_control.ts
@@ -1,4 +1,4 @@
-/** What a relay node says to control, and takes from it. */
+/** The link of a relay node to control: announcements, routes and members. */
 import { readSteadyMs } from "../base/node/steady_clock.ts";
 import type {
   ControlMessage,
@@ -14,37 +14,45 @@
 import type { KeyAccess } from "../engine/workspaces/common/key_access.ts";
 import type { RelaySettings } from "./relay_settings.ts";
 
-/** What the control side of a relay is built from. */
+/** Options of the control link of a relay node. */
 export interface RelayControlOptions {
   readonly settings: RelaySettings;
-  /** Filled with the members that control tells. */
+  /** Updated with the members that control reports. */
   readonly members: MemberTable;
   readonly log: RelayLog;
   readonly access: KeyAccess;
   readonly quotas: QuotaGate;
-  /** Control has proved the routes, or told the shares of workspaces. */
-  readonly onTold: () => void;
-  /** Newer routes are in force. */
+  /**
+   * Called after a proof of the routes or new workspace shares were received.
+   */
+  readonly onAccessUpdated: () => void;
+  /** Called when newer routes have come into force. */
   readonly onRoutes: (routes: RouteTable) => void;
 }
 
-/** Objective of a route that is not in force here; between short and long. */
+/**
+ * Latency objective of a route that is not in force here; between those of
+ * short and of long routes.
+ */
 const DEFAULT_OBJECTIVE_MS = 300;
-/** How long routes that no quorum vouches for are kept aside at the start. */
-const UNCONFIRMED_MS = 4_000;
-/** Least time between questions for a proof, beside those of heartbeats. */
-const ASK_EVERY_MS = 100;
+/**
+ * Time after the start during which routes that no quorum confirmed are
+ * ignored.
+ */
+const UNCONFIRMED_ROUTES_WAIT_MS = 4_000;
+/** Least time between proof requests, not counting those in heartbeats. */
+const MIN_PROOF_REQUEST_INTERVAL_MS = 100;
 
-/** Holds the link to control, the announcement, and the routes in force. */
+/** Owns the link to control, the announcement and the routes in force. */
 export class RelayControl implements AsyncDisposable {
   readonly #options: RelayControlOptions;
   readonly #link: LinkClient<ControlMessage, NodeMessage>;
   readonly #startedAtMs = readSteadyMs();
-  readonly #subscribed = new Set<string>();
+  readonly #subscribedServices = new Set<string>();
   #routes: RouteTable | undefined;
   #objectives: ReadonlyMap<string, number> = new Map();
   #linkNumber = 0;
-  #askedAtMs = 0;
+  #proofRequestedAtMs = 0;
   #announcement: Announcement;
 
   constructor(options: RelayControlOptions) {
@@ -53,7 +61,7 @@
     this.#link = this.#createLink();
   }
 
-  /** What this node last said of itself. */
+  /** The announcement that this node last sent. */
   get announcement(): Announcement {
     return this.#announcement;
   }
@@ -68,36 +76,43 @@
     return this.#routes !== undefined;
   }
 
-  /** Whether a route in force leads to a service. */
+  /** Whether a route in force has the service as a target. */
   isRouted(service: string): boolean {
     return this.#routes?.routes.some(({ targets }) =>
       targets.some((target) => target.service === service)
     ) ?? false;
   }
 
-  /** Latency within which an answer of a route has its full value. */
+  /**
+   * Returns the latency within which an answer of the route has full value, in
+   * ms.
+   */
   getObjectiveMs(route: string): number {
     return this.#objectives.get(route) ?? DEFAULT_OBJECTIVE_MS;
   }
 
-  /** Begins to look for a control replica. */
+  /** Starts to connect to a control replica. */
   open(): void {
     this.#link.open();
   }
 
-  /** Adds control replicas that the settings name now. */
+  /** Adds control replicas that the reloaded settings name. */
   learnSeeds(seeds: readonly string[]): void {
     this.#link.addReplicas(seeds);
   }
 
-  /** Asks at once for a proof that the routes in force are the newest. */
-  askProof(): void {
-    if (readSteadyMs() - this.#askedAtMs >= ASK_EVERY_MS) {
-      this.#link.send({ ...this.#askWithHeartbeat(), isUrgent: true });
+  /**
+   * Requests a proof that the routes in force are the newest, without delay.
+   */
+  requestProof(): void {
+    if (
+      readSteadyMs() - this.#proofRequestedAtMs >= MIN_PROOF_REQUEST_INTERVAL_MS
+    ) {
+      this.#link.send({ ...this.#createHeartbeat(), isUrgent: true });
     }
   }
 
-  /** Tells control what workspaces asked for here. */
+  /** Reports the usage of the workspaces at this node to control. */
   reportUsage(): void {
     if (this.#routes?.workspaces === undefined) {
       return;
@@ -108,7 +123,9 @@
     }
   }
 
-  /** Says what has changed of this node. */
+  /**
+   * Announces a change of this node; leaves its service first if that changes.
+   */
   announce(change: Partial<Announcement>): void {
     const { service } = this.#announcement;
     if (change.service !== undefined && change.service !== service) {
@@ -117,7 +134,7 @@
     this.#announce({ ...this.#announcement, ...change });
   }
 
-  /** Says that this node serves no longer. */
+  /** Notifies control that this node no longer serves. */
   leave(): void {
     this.#link.send({ type: "Leave" });
   }
@@ -141,8 +158,8 @@
         });
         this.#linkNumber = linkNumber;
         this.#announce(this.#announcement);
-        this.#link.send(this.#askWithHeartbeat());
-        this.#subscribed.clear();
+        this.#link.send(this.#createHeartbeat());
+        this.#subscribedServices.clear();
         this.#subscribe();
       },
       onClose: (replica) =>
@@ -153,15 +170,15 @@
         }),
       readConfirmed: (message) =>
         "isConfirmed" in message ? message.isConfirmed : undefined,
-      createHeartbeat: () => this.#askWithHeartbeat(),
+      createHeartbeat: () => this.#createHeartbeat(),
     });
   }
 
   /**
-   * Creates a heartbeat; where keys are needed it asks for a proof, which is
-   * noted as asked for now.
+   * Creates a heartbeat. If the routes require keys, it includes a proof
+   * request and records its time, so each heartbeat created must be sent.
    */
-  #askWithHeartbeat(): Extract<NodeMessage, { type: "Heartbeat" }> {
+  #createHeartbeat(): Extract<NodeMessage, { type: "Heartbeat" }> {
     const routesVersion = this.#routes?.version ?? 0;
     const heartbeat = {
       type: "Heartbeat",
@@ -171,7 +188,7 @@
     if (this.#routes?.workspaces === undefined) {
       return heartbeat;
     }
-    this.#askedAtMs = readSteadyMs();
+    this.#proofRequestedAtMs = readSteadyMs();
     return { ...heartbeat, proof: this.#options.access.requestProof() };
   }
 
@@ -190,14 +207,14 @@
   #receive(message: ControlMessage): void {
     switch (message.type) {
       case "RoutesUpdate":
-        this.#takeRoutes(message.routes, message.isConfirmed);
+        this.#receiveRoutes(message.routes, message.isConfirmed);
         return;
       case "RoutesProved":
-        this.#takeProof(message.number, message.routesVersion);
+        this.#receiveProof(message.number, message.routesVersion);
         return;
       case "SharesUpdate":
         this.#options.quotas.replaceShares(message.shares, message.nodes);
-        this.#options.onTold();
+        this.#options.onAccessUpdated();
         return;
       case "MemberList":
         if (message.isComplete) {
@@ -234,16 +251,16 @@
     }
   }
 
-  /** A proof of routes that are still on their way here proves nothing. */
-  #takeProof(number: number, routesVersion: number): void {
+  /** Ignores a proof of routes that are newer than those received here. */
+  #receiveProof(number: number, routesVersion: number): void {
     if (this.routesVersion >= routesVersion) {
       this.#options.access.acceptProof(number);
-      this.#options.onTold();
+      this.#options.onAccessUpdated();
     }
   }
 
-  #renewIncarnation(heard: readonly Announcement[]): void {
-    const incarnation = renewIncarnation(this.#announcement, heard);
+  #renewIncarnation(received: readonly Announcement[]): void {
+    const incarnation = renewIncarnation(this.#announcement, received);
     if (incarnation !== undefined) {
       this.#options.log.write({
         event: "IncarnationRenewed",
@@ -255,10 +272,13 @@
     }
   }
 
-  /** A node never goes back to older routes. */
-  #takeRoutes(routes: RouteTable, isConfirmed: boolean): void {
+  /**
+   * Puts newer routes in force. The first ones must be confirmed, unless the
+   * wait for a confirmation is over; a node never returns to older routes.
+   */
+  #receiveRoutes(routes: RouteTable, isConfirmed: boolean): void {
     const isTrusted = isConfirmed || this.#routes !== undefined ||
-      readSteadyMs() - this.#startedAtMs > UNCONFIRMED_MS;
+      readSteadyMs() - this.#startedAtMs > UNCONFIRMED_ROUTES_WAIT_MS;
     const isNewer = routes.version > (this.#routes?.version ?? 0);
     if (!isTrusted || !isNewer) {
       return;
@@ -278,16 +298,18 @@
     this.#options.onRoutes(routes);
     this.#subscribe();
     if (routes.workspaces !== undefined) {
-      this.askProof();
+      this.requestProof();
     }
   }
 
-  /** Asks for the members of the services that the routes lead to. */
+  /**
+   * Subscribes to the members of the services that the routes have as targets.
+   */
   #subscribe(): void {
     for (const { targets } of this.#routes?.routes ?? []) {
       for (const { service } of targets) {
-        if (!this.#subscribed.has(service) && this.#link.isOpen) {
-          this.#subscribed.add(service);
+        if (!this.#subscribedServices.has(service) && this.#link.isOpen) {
+          this.#subscribedServices.add(service);
           this.#link.send({ type: "Subscribe", service });
         }
       }
@@ -308,7 +330,7 @@
     operator: settings.operator,
     slots: 1,
     connections: 1_024,
-    // No work before the backend server has announced itself.
+    // The node accepts no work until the backend server has announced itself.
     isDraining: true,
   };
 }
--- a/src/daemon/relay_daemon.ts
+++ b/src/daemon/relay_daemon.ts
@@ -1,6 +1,6 @@
 /**
- * A node whose calls go over framed links: callers on its VM, the gate of its
- * backend server, and its link to control.
+ * A relay node, whose calls to other nodes use framed links. Connects the entry
+ * for callers on its VM, the gate of its backend server and the control link.
  */
 import { DisposalStack } from "../base/common/disposal.ts";
 import { parseAddress } from "../base/node/listen.ts";
@@ -32,36 +32,45 @@
 import { LineLog } from "./line_log.ts";
 
 /**
- * Entry and gate tick: expiry is late by at most this much. It has a timer of
- * its own, as the least backlog of a window is taken from these looks: with two
- * in place of five a queue that empties now and then looks like one that stays.
+ * Tick interval of entry and gate; calls expire at most this late. The least
+ * backlog of a window is sampled at these ticks, hence a separate timer: with
+ * two samples in place of five, a queue that empties at times appears to be
+ * standing.
  */
 const TICK_MS = 20;
 /**
- * How often the load is said on links in use: how old it may be where calls are
- * spread, and how soon a silent node is known.
+ * Interval of load reports on links in use. Bounds the age of the load that
+ * routing uses, and the time until a silent node is detected.
  */
-const REPORT_MS = 100;
-/** Ticks between notes of the own load, as often as others report theirs. */
-const OWN_LOAD_TICKS = REPORT_MS / TICK_MS;
-/** Ticks between reports of what workspaces asked for. */
-const USAGE_TICKS = USAGE_INTERVAL_MS / TICK_MS;
-/** Ticks between looks for idle links. */
-const IDLE_TICKS = 500;
-/** How long a drain goes on taking work: callers look each second, twice. */
-const SPREAD_MS = 2_500;
-const POLL_MS = 20;
-/** Source of the calls that this node sends to its own gate. */
-const LOCAL = "local";
+const REPORT_INTERVAL_MS = 100;
+/**
+ * Ticks between records of the own load, at the rate of other nodes' reports.
+ */
+const OWN_LOAD_INTERVAL_TICKS = REPORT_INTERVAL_MS / TICK_MS;
+/** Ticks between usage reports of workspaces. */
+const USAGE_INTERVAL_TICKS = USAGE_INTERVAL_MS / TICK_MS;
+/** Ticks between checks for idle links. */
+const IDLE_CHECK_INTERVAL_TICKS = 500;
+/**
+ * Time that a drain still accepts work after its announcement: callers check
+ * each second, and are given two checks.
+ */
+const DRAIN_NOTICE_MS = 2_500;
+const POLL_INTERVAL_MS = 20;
+/** Link id of the calls that this node sends to its own gate. */
+const LOCAL_LINK_ID = "local";
 
-/** A running node. */
+/** A running relay node. */
 export class RelayDaemon implements AsyncDisposable {
   readonly #settings: RelaySettings;
-  readonly #owned = new DisposalStack();
+  readonly #disposables = new DisposalStack();
   readonly #telemetry: Telemetry;
   readonly #members = new MemberTable();
-  readonly #tree: RelayTree;
-  /** The least urgent rank of the routes and workspaces in force. */
+  readonly #callTree: RelayTree;
+  /**
+   * Highest rank number, the least urgent, of the routes and workspaces in
+   * force.
+   */
   #lastRank = 0;
   readonly #gate: GateCalls;
   readonly #access: KeyAccess;
@@ -71,9 +80,9 @@
   readonly #meshClient: MeshClient;
   readonly #meshServer: MeshServer;
   readonly #control: RelayControl;
-  readonly #operator: OperatorServer;
+  readonly #operatorServer: OperatorServer;
   readonly #log: LineLog;
-  readonly #loop = new LoopWatch({
+  readonly #loopWatch = new LoopWatch({
     readClock: readSteadyMs,
     periodMs: TICK_MS,
   });
@@ -84,7 +93,7 @@
   constructor(settings: RelaySettings, dialect: CallDialect) {
     this.#settings = settings;
     const { id, dataCentre, budget } = settings;
-    this.#telemetry = this.#owned.use(
+    this.#telemetry = this.#disposables.use(
       new Telemetry({
         id,
         role: "node",
@@ -99,22 +108,22 @@
     );
     const readClock = readSteadyMs;
     const log = this.#log;
-    this.#gate = this.#owned.use(
+    this.#gate = this.#disposables.use(
       new GateCalls({
         dialect,
         readClock,
         log,
-        loop: this.#loop,
+        loop: this.#loopWatch,
         maxConnections: () => this.#control.announcement.connections,
         getObjectiveMs: (route) => this.#control.getObjectiveMs(route),
         recordRun: (run, change) =>
-          this.#tree.noteRun(run, change, readSteadyMs()),
+          this.#callTree.recordRun(run, change, readSteadyMs()),
         recordArrival: (route, service) =>
-          this.#tree.noteArrival(route, service, readSteadyMs()),
-        onBackendLost: () => this.#loseBackend(),
+          this.#callTree.recordArrival(route, service, readSteadyMs()),
+        onBackendLost: () => this.#handleBackendLoss(),
       }),
     );
-    this.#meshClient = this.#owned.use(
+    this.#meshClient = this.#disposables.use(
       new MeshClient({
         onFrame: (address, frame) => this.#entry.receive(address, frame),
         onLost: (address, reason, wasOpen) => {
@@ -125,7 +134,7 @@
         getService: () => this.#control.announcement.service,
       }),
     );
-    this.#tree = new RelayTree({
+    this.#callTree = new RelayTree({
       members: this.#members,
       getService: () => this.#control.announcement.service,
     });
@@ -133,19 +142,19 @@
       dataCentre,
       members: this.#members,
       budget,
-      links: this.#createPath(),
+      links: this.#createMeshLinks(),
       readClock,
       draw: Math.random,
       getLastRank: () => this.#lastRank,
       log,
-      loop: this.#loop,
+      loop: this.#loopWatch,
       receiveCallerReport: (address, report) =>
-        this.#tree.hear(address, report, readSteadyMs()),
+        this.#callTree.receiveCallerReport(address, report, readSteadyMs()),
       recordAttempt: (service, cause) => metrics.countAttempt(service, cause),
       recordCallDuration: (route, elapsedMs) =>
         metrics.noteDuration(route, elapsedMs),
     });
-    this.#meshServer = this.#owned.use(this.#createMeshServer());
+    this.#meshServer = this.#disposables.use(this.#createMeshServer());
     this.#access = new KeyAccess({
       leaseMs: settings.keyLeaseMs,
       readClocks: readBothClocks,
@@ -155,17 +164,17 @@
       terms: settings.quotaTerms,
       draw: Math.random,
     });
-    this.#callers = this.#owned.use(
+    this.#callers = this.#disposables.use(
       new CallerServer({
         workspaces: new WorkspaceCheck(this.#access, this.#quotas),
-        requestProof: () => this.#control.askProof(),
+        requestProof: () => this.#control.requestProof(),
         address: parseAddress(settings.callers)!,
         dialect,
         startCall: (request, service, onResult) =>
           this.#entry.start(request, service, onResult),
-        observeCall: (call) => this.#tree.observe(call, readSteadyMs()),
+        observeCall: (call) => this.#callTree.recordCall(call, readSteadyMs()),
         recordConnection: () => {
-          this.#loop.noteAccepted();
+          this.#loopWatch.noteAccepted();
           this.#firstRequests.noteAccepted();
         },
         firstRequests: this.#firstRequests,
@@ -175,14 +184,14 @@
         log,
       }),
     );
-    this.#control = this.#owned.use(
+    this.#control = this.#disposables.use(
       new RelayControl({
         settings,
         members: this.#members,
         log,
         access: this.#access,
         quotas: this.#quotas,
-        onTold: () => this.#callers.resumeProofWaiters(),
+        onAccessUpdated: () => this.#callers.resumeProofWaiters(),
         onRoutes: (routes) => {
           const { workspaces = [] } = routes;
           this.#lastRank = countRanks(routes.routes.map(({ rank }) => rank)) *
@@ -191,7 +200,7 @@
         },
       }),
     );
-    this.#operator = this.#owned.use(
+    this.#operatorServer = this.#disposables.use(
       createRelayOperator(
         settings,
         this.#telemetry,
@@ -201,7 +210,9 @@
     );
   }
 
-  /** Whether callers may be sent here. */
+  /**
+   * Whether this node is ready for callers: it has routes and is not stopping.
+   */
   get isReady(): boolean {
     return this.#control.hasRoutes && !this.#isStopping;
   }
@@ -211,41 +222,45 @@
     return this.#gate.backend;
   }
 
-  /** Opens the listeners and starts to announce. */
+  /** Opens the listeners and the link to control, and starts the ticks. */
   async open(): Promise<void> {
     await this.#meshServer.open();
     await this.#callers.open();
-    await this.#operator.open();
+    await this.#operatorServer.open();
     this.#control.open();
-    this.#introduce();
+    this.#introduceService();
     const tick = setInterval(() => this.#tick(), TICK_MS);
-    this.#owned.defer(() => clearInterval(tick));
+    this.#disposables.defer(() => clearInterval(tick));
     this.#telemetry.record({ type: "ProcessStarted", role: "node" });
   }
 
-  /** Adds control replicas that the settings name now. */
+  /** Adds control replicas that the reloaded settings name. */
   learnSeeds(seeds: readonly string[]): void {
     this.#log.write({ event: "SettingsRead", isFailure: false, seeds });
     this.#control.learnSeeds(seeds);
   }
 
-  /** Says that changed settings can't be used; the former ones hold. */
+  /** Logs that changed settings are invalid; the previous ones stay in use. */
   reportSettings(reason: string): void {
     this.#log.write({ event: "SettingsInvalid", isFailure: true, reason });
   }
 
-  /** Says that an announcement counts for nothing; the former ones hold. */
+  /**
+   * Logs a refused announcement of a backend server; the previous one holds.
+   */
   reportAnnouncement(instanceId: string, reason: string): void {
     const event = "AnnouncementRefused";
     this.#log.write({ event, isFailure: true, instanceId, reason });
   }
 
-  /** Whether a route in force leads to a service. */
+  /** Whether a route in force has the service as a target. */
   isRouted(service: string): boolean {
     return this.#control.isRouted(service);
   }
 
-  /** Takes what the backend server says of itself. */
+  /**
+   * Applies an announcement of the backend server; undefined after its loss.
+   */
   changeBackend(backend: LocalBackend | undefined): void {
     const before = this.#gate.backend;
     this.#gate.changeBackend(backend);
@@ -271,11 +286,14 @@
     });
     this.#control.announce({ service, slots, isDraining });
     if (service !== current.service) {
-      this.#introduce();
+      this.#introduceService();
     }
   }
 
-  /** Finishes what is in progress; others are told to go elsewhere. */
+  /**
+   * Announces the drain and resolves when no calls are open, or at `drainMs`
+   * after the start.
+   */
   async drain(): Promise<void> {
     this.#isStopping = true;
     this.#telemetry.record({ type: "DrainStarted" });
@@ -283,7 +301,7 @@
     const endMs = startedAtMs + this.#settings.drainMs;
     this.#control.announce({ isDraining: true });
     this.#callers.drain();
-    await waitUntil(() => readSteadyMs() >= startedAtMs + SPREAD_MS);
+    await waitUntil(() => readSteadyMs() >= startedAtMs + DRAIN_NOTICE_MS);
     this.#callers.close();
     await waitUntil(() => this.#isIdle() || readSteadyMs() >= endMs);
     this.#control.leave();
@@ -292,7 +310,7 @@
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.#telemetry.record({ type: "ProcessStopped" });
-    await this.#owned[Symbol.asyncDispose]();
+    await this.#disposables[Symbol.asyncDispose]();
   }
 
   #createStatus(): RelayStatus {
@@ -315,50 +333,62 @@
 
   #tick(): void {
     this.#ticks += 1;
-    this.#loop.tick();
+    this.#loopWatch.tick();
     this.#access.tick();
     this.#callers.tick();
     this.#entry.tick();
     this.#gate.tick();
-    if (this.#ticks % OWN_LOAD_TICKS === 0) {
-      this.#noteOwnLoad();
+    if (this.#ticks % OWN_LOAD_INTERVAL_TICKS === 0) {
+      this.#recordOwnLoad();
     }
-    if (this.#ticks % USAGE_TICKS === 0) {
+    if (this.#ticks % USAGE_INTERVAL_TICKS === 0) {
       this.#control.reportUsage();
     }
-    if (this.#ticks % IDLE_TICKS === 0) {
+    if (this.#ticks % IDLE_CHECK_INTERVAL_TICKS === 0) {
       this.#meshClient.closeIdle();
     }
   }
 
-  /** The own gate is a member like the others, but no link reports it. */
-  #noteOwnLoad(): void {
+  /** Records the load of the own gate, a member that no link reports. */
+  #recordOwnLoad(): void {
     const { mesh } = this.#settings;
     const nowMs = readSteadyMs();
     const load = this.#gate.readLoad();
-    this.#entry.receive(mesh, this.#tree.createOwnReport(load, nowMs));
+    this.#entry.receive(mesh, this.#callTree.createOwnReport(load, nowMs));
   }
 
-  /** Calls on all links, and those to the own gate, begin at this service. */
-  #introduce(): void {
+  /**
+   * Sends the service of this node, as caller, on all links and to the own
+   * gate.
+   */
+  #introduceService(): void {
     const { service } = this.#control.announcement;
     this.#meshClient.introduce();
-    this.#gate.receive(LOCAL, { type: "CallerIntroduced", service }, () => {});
+    this.#gate.receive(
+      LOCAL_LINK_ID,
+      { type: "CallerIntroduced", service },
+      () => {},
+    );
   }
 
-  /** The backend server took no connection: no calls until it is heard. */
-  #loseBackend(): void {
+  /**
+   * Stops calls to a backend server that accepts no connection until it
+   * announces.
+   */
+  #handleBackendLoss(): void {
     this.changeBackend(undefined);
   }
 
-  /** Calls for the own backend server skip the socket. */
-  #createPath() {
+  /**
+   * Creates the links to the gates; calls to the own gate bypass the socket.
+   */
+  #createMeshLinks() {
     const own = this.#settings.mesh;
     return {
       send: (address: string, frame: Parameters<MeshClient["send"]>[1]) => {
         if (address === own) {
           this.#gate.receive(
-            LOCAL,
+            LOCAL_LINK_ID,
             frame,
             (answer) => this.#entry.receive(own, answer),
           );
@@ -368,7 +398,11 @@
       },
       withdraw: (address: string, call: number) => {
         if (address === own) {
-          this.#gate.receive(LOCAL, { type: "CallCancelled", call }, () => {});
+          this.#gate.receive(
+            LOCAL_LINK_ID,
+            { type: "CallCancelled", call },
+            () => {},
+          );
         } else {
           this.#meshClient.withdraw(address, call);
         }
@@ -399,9 +433,12 @@
         }),
       onClosed: (link) => this.#gate.handleLinkLoss(String(link)),
       hasCalls: (link) => this.#gate.hasCalls(String(link)),
-      reportIntervalMs: REPORT_MS,
+      reportIntervalMs: REPORT_INTERVAL_MS,
       createReport: () =>
-        this.#tree.createNews(this.#gate.readLoad(), readSteadyMs()),
+        this.#callTree.createPeriodicReport(
+          this.#gate.readLoad(),
+          readSteadyMs(),
+        ),
       readClock: readSteadyMs,
     });
   }
@@ -409,6 +446,6 @@
 
 async function waitUntil(isMet: () => boolean): Promise<void> {
   while (!isMet()) {
-    await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
--- a/src/daemon/relay_operator.ts
+++ b/src/daemon/relay_operator.ts
@@ -1,4 +1,4 @@
-/** What a relay node shows its operators: status, time line, metrics. */
+/** The operator listener of a relay node: status, timeline and metrics. */
 import { parseAddress } from "../base/node/listen.ts";
 import type { LoadFigures } from "../engine/mesh/common/frames.ts";
 import type { BudgetCounts } from "../engine/relay/common/entry_budget.ts";
@@ -9,7 +9,7 @@
 import type { RelaySettings } from "./relay_settings.ts";
 import type { Telemetry } from "./telemetry.ts";
 
-/** A relay node as it is now. */
+/** Current status of a relay node, as in the body of `GET /status`. */
 export interface RelayStatus {
   readonly isReady: boolean;
   readonly isDraining: boolean;
@@ -17,19 +17,21 @@
   readonly routesVersion: number;
   readonly backend: LocalBackend | undefined;
   readonly load: LoadFigures;
-  /** Calls of this node's callers without a final answer. */
+  /** Number of calls of this node's callers without a final answer. */
   readonly openCalls: number;
-  /** Nodes of all services that calls may be sent to. */
+  /** Number of nodes, of all services, that calls may be sent to. */
   readonly members: number;
-  /** Whether requests by keys are served: their lease holds. */
+  /** Whether requests with keys are served, which needs a valid key lease. */
   readonly servesKeys: boolean;
-  /** Workspaces of which not all requests are let in, with the part that is. */
+  /**
+   * Workspaces over their quota, with the share of requests that is admitted.
+   */
   readonly limitedWorkspaces: readonly WorkspaceShare[];
 }
 
 type ReadStatus = () => RelayStatus;
 
-/** Counts what this node sent to each service in the last window. */
+/** Counts the attempts of this node per service in the retry budget window. */
 type CountByService = () => ReadonlyMap<string, BudgetCounts>;
 
 type BudgetGauge = readonly [
@@ -56,7 +58,7 @@
   ],
 ];
 
-/** Creates the listener, and the gauges that a scrape reads. */
+/** Creates the operator listener and registers the gauges of the node. */
 export function createRelayOperator(
   settings: RelaySettings,
   { metrics, timeline }: Telemetry,
@@ -73,7 +75,7 @@
         ),
     });
   }
-  for (const [name, description, read] of GAUGES) {
+  for (const [name, description, read] of STATUS_GAUGES) {
     metrics.createGauge(name, description, () => read(readStatus()));
   }
   const { id, dataCentre } = settings;
@@ -98,13 +100,13 @@
   });
 }
 
-type Gauge = readonly [
+type StatusGauge = readonly [
   name: string,
   description: string,
   read: (status: RelayStatus) => number,
 ];
 
-const GAUGES: readonly Gauge[] = [
+const STATUS_GAUGES: readonly StatusGauge[] = [
   [
     "ready",
     "1 where callers may be sent here",
--- a/src/daemon/relay_settings.ts
+++ b/src/daemon/relay_settings.ts
@@ -1,30 +1,34 @@
-/** What a relay node is told at its start. */
+/** Settings of a relay node. */
 import type { LinkPace } from "../engine/link/common/link_reducer.ts";
 import type { QuotaTerms } from "../engine/workspaces/common/quota_shares.ts";
 import type { RetryBudgetLimits } from "../engine/relay/common/entry_budget.ts";
 
-/** What a relay daemon is built from. */
+/** Settings that a relay daemon starts with. */
 export interface RelaySettings {
   readonly id: string;
   readonly vm: string;
   readonly region: string;
   readonly dataCentre: string;
-  /** Service of the backend server until that announces itself. */
+  /** Service of this node until the backend server announces its own. */
   readonly service: string;
-  /** `host:port` for callers on this VM. */
+  /** `host:port` of the listener for callers on this VM. */
   readonly callers: string;
-  /** `host:port` for operators: status, metrics. */
+  /** `host:port` of the listener for operators: status and metrics. */
   readonly operator: string;
-  /** `host:port` for other nodes; also the address that they are told. */
+  /**
+   * `host:port` of the listener for other nodes; also the announced address.
+   */
   readonly mesh: string;
   /** Link addresses of control replicas. */
   readonly replicas: readonly string[];
   readonly linkPace: LinkPace;
   readonly budget: RetryBudgetLimits;
-  /** How long keys are served without a proof that they hold; undefined: on. */
+  /**
+   * How long keys are served without a new proof, in ms; undefined: no limit.
+   */
   readonly keyLeaseMs: number | undefined;
-  /** Undefined where limits of workspaces are not kept. */
+  /** Undefined if workspace quotas are not enforced. */
   readonly quotaTerms: QuotaTerms | undefined;
-  /** A drain ends by then, whatever is in progress. */
+  /** Longest duration of a drain in ms; calls still open then are abandoned. */
   readonly drainMs: number;
 }
--- a/src/daemon/relay_tree.ts
+++ b/src/daemon/relay_tree.ts
@@ -1,4 +1,6 @@
-/** What a relay node learns of the call tree, and tells other nodes of it. */
+/**
+ * Call tree estimates of a relay node, and the reports of them to other nodes.
+ */
 import {
   CallerSpread,
   SpreadCounter,
@@ -16,17 +18,20 @@
 import { RepeatedRuns } from "../engine/relay/common/repeated_runs.ts";
 import type { BackendRun } from "../engine/relay/common/repeated_runs.ts";
 
-/** What the tree is built from. */
+/** Options of the call tree. */
 export interface RelayTreeOptions {
   readonly members: MemberTable;
-  /** Service of the own backend server. */
+  /** Returns the service of the own backend server. */
   readonly getService: () => string;
 }
 
-/** How often nodes say where calls came from: some ten calls are enough. */
-const CALLERS_MS = 500;
+/**
+ * Interval of reports of where calls came from. They may be rarer than those of
+ * load: about ten calls are enough for an estimate.
+ */
+const CALLER_REPORT_INTERVAL_MS = 500;
 
-/** Feeds the observations of one node into its call tree. */
+/** Records the observations of one node in its call tree. */
 export class RelayTree {
   readonly #options: RelayTreeOptions;
   readonly #coincidences = new CoincidenceCounter();
@@ -34,7 +39,7 @@
   readonly #arrivals = new SpreadCounter();
   readonly #repeated = new RepeatedRuns();
   readonly #tree: CallTree;
-  #callersSaidAtMs = 0;
+  #callersReportedAtMs = 0;
   #hadPressure = false;
 
   constructor(options: RelayTreeOptions) {
@@ -47,26 +52,35 @@
     });
   }
 
-  /** A run begins (1) or ends (-1) at the own backend server. */
-  noteRun(run: BackendRun, change: 1 | -1, nowMs: number): void {
+  /** Records the start (1) or end (-1) of a run at the own backend server. */
+  recordRun(run: BackendRun, change: 1 | -1, nowMs: number): void {
     this.#coincidences.recordRun(run.route, change, nowMs);
     if (change === 1) {
       this.#repeated.recordStart(run, nowMs);
     }
   }
 
-  /** A call came to the own gate that began on a VM of a service. */
-  noteArrival(route: string, callerService: string, nowMs: number): void {
+  /**
+   * Records a call at the own gate, with the service of the VM it came from.
+   */
+  recordArrival(route: string, callerService: string, nowMs: number): void {
     this.#arrivals.recordCall(route, callerService, nowMs);
   }
 
-  /** The gate at an address says where the calls there came from. */
-  hear(address: string, report: CallerReport, nowMs: number): void {
+  /** Receives the report of another gate of where its calls came from. */
+  receiveCallerReport(
+    address: string,
+    report: CallerReport,
+    nowMs: number,
+  ): void {
     this.#spread.receiveReport(address, report, nowMs);
   }
 
-  /** Notes a call from this VM; tells whether a run of the server made it. */
-  observe(
+  /**
+   * Records a call from this VM. Returns whether a run of the own backend server
+   * made it, and if so the probability that this run was a repeated one.
+   */
+  recordCall(
     call: Callee,
     nowMs: number,
   ): { readonly isNested: boolean; readonly repeatShare: number } {
@@ -79,21 +93,22 @@
     return { isNested, repeatShare };
   }
 
-  /** Creates the report that the own node takes like those of others. */
+  /** Creates the report of the own gate, for local use. */
   createOwnReport(load: LoadFigures, nowMs: number): LoadReported {
     const callers = this.#arrivals.createReport(nowMs);
-    const below = this.#listBelow(nowMs);
+    const below = this.#listDownstream(nowMs);
     return { type: "LoadReported", load, below, callers };
   }
 
   /**
-   * Creates what other nodes don't know yet. Without pressure the answers on a
-   * link say enough; a report of the call tree alone would wake both ends of
-   * each link ten times a second.
+   * Creates the periodic report to other nodes. Omits the call tree when
+   * neither pressure nor callers are to be reported: answers on the link carry
+   * the load, and a report of the tree alone would wake both ends of each link
+   * ten times a second.
    */
-  createNews(load: LoadFigures, nowMs: number): LoadReported {
-    const callers = this.#takeCallers(nowMs);
-    const below = this.#listBelow(nowMs);
+  createPeriodicReport(load: LoadFigures, nowMs: number): LoadReported {
+    const callers = this.#takeCallerReport(nowMs);
+    const below = this.#listDownstream(nowMs);
     const hasPressure = below.some(([, pressure]) => pressure > 0);
     const isNews = hasPressure || this.#hadPressure || callers.length > 0;
     this.#hadPressure = hasPressure;
@@ -105,14 +120,16 @@
     };
   }
 
-  /** Lists the pressure below each route whose requests make calls here. */
-  #listBelow(nowMs: number): readonly DownstreamPressure[] {
+  /**
+   * Lists the highest downstream pressure for each route whose runs make calls.
+   */
+  #listDownstream(nowMs: number): readonly DownstreamPressure[] {
     const { members } = this.#options;
     return this.#tree.listEdges(nowMs).map(([parent, callees]) => {
-      const ways = callees.map(({ service, route }) =>
+      const paths = callees.map(({ service, route }) =>
         members.computePathPressure(service, route, nowMs)
       );
-      const worst = ways.reduce((a, b) => b.pressure > a.pressure ? b : a);
+      const worst = paths.reduce((a, b) => b.pressure > a.pressure ? b : a);
       const { pressure, reportedAtMs: saidAtMs } = worst;
       return [
         parent,
@@ -122,12 +139,12 @@
     });
   }
 
-  /** Takes what is to be said of callers, more seldom than the load. */
-  #takeCallers(nowMs: number): CallerReport {
-    if (nowMs - this.#callersSaidAtMs < CALLERS_MS) {
+  /** Returns the caller report when it is due, else an empty one. */
+  #takeCallerReport(nowMs: number): CallerReport {
+    if (nowMs - this.#callersReportedAtMs < CALLER_REPORT_INTERVAL_MS) {
       return [];
     }
-    this.#callersSaidAtMs = nowMs;
+    this.#callersReportedAtMs = nowMs;
     return this.#arrivals.createReport(nowMs);
   }
 }
