--- a/src/daemon/cluster_links.ts
+++ b/src/daemon/cluster_links.ts
@@ -1,19 +1,24 @@
-/** Ways to the other control replicas, by their ids in the settings. */
+/** Addresses of and links to the other control replicas, by replica id. */
 import type { ClusterMessage } from "../engine/link/common/cluster_messages.ts";
 import type { LinkServer } from "../engine/link/node/link_server.ts";
 import type { ReplicaLinks } from "../engine/link/node/replica_links.ts";
 import type { Cluster } from "../engine/control/common/replication_state.ts";
 import type { ControlSettings } from "./settings.ts";
 
-/** A replica in the settings. */
-export interface ReplicaPlace {
+/** Id and address of a control replica, as the settings name them. */
+export interface ReplicaAddress {
   readonly id: string;
   /** `host:port` of its link listener. */
   readonly link: string;
 }
 
-/** Lists the other replicas that the settings name. */
-export function listPeers(settings: ControlSettings): readonly ReplicaPlace[] {
+/**
+ * Lists the other replicas that the settings name. With discovery the settings
+ * hold only link addresses, so the address serves as the id.
+ */
+export function listPeers(
+  settings: ControlSettings,
+): readonly ReplicaAddress[] {
   const { discovery } = settings;
   if (discovery !== undefined) {
     return discovery.seeds
@@ -24,19 +29,22 @@
   return [...voters, ...learners].filter(({ id }) => id !== settings.id);
 }
 
-/** Where replicas find each other, an id is a link address. */
+/**
+ * Creates the lookup from a replica's id to its link address. With discovery
+ * the id is the link address itself.
+ */
 export function createAddressFinder(
   settings: ControlSettings,
 ): (peer: string) => string | undefined {
   if (settings.discovery !== undefined) {
     return (peer) => peer;
   }
-  const places = listPeers(settings);
-  const addresses = new Map(places.map(({ id, link }) => [id, link]));
+  const replicas = listPeers(settings);
+  const addresses = new Map(replicas.map(({ id, link }) => [id, link]));
   return (peer) => addresses.get(peer);
 }
 
-/** Creates what the replica knows of the others before it hears them. */
+/** Creates the initial cluster configuration from the settings. */
 export function createCluster(settings: ControlSettings): Cluster {
   const peers = listPeers(settings).map(({ id }) => id);
   const { discovery, cluster, id, listen } = settings;
@@ -57,7 +65,10 @@
   };
 }
 
-/** Sends on the link that this replica opened, else on one it accepted. */
+/**
+ * Sends messages to other replicas: on the link that this replica opened, or
+ * else on the link that it last accepted from the peer.
+ */
 export class ClusterLinks {
   readonly #dialled: ReplicaLinks;
   readonly #accepted: LinkServer;
@@ -67,7 +78,7 @@
   constructor(options: {
     readonly dialled: ReplicaLinks;
     readonly accepted: LinkServer;
-    /** Where the settings place a replica. */
+    /** Returns the link address of a replica; undefined if it is unknown. */
     readonly findAddress: (peer: string) => string | undefined;
   }) {
     this.#dialled = options.dialled;
@@ -75,14 +86,14 @@
     this.#findAddress = options.findAddress;
   }
 
-  /** Notes on which accepted link a replica is heard. */
+  /** Records the accepted link on which a replica introduced itself. */
   observe(message: ClusterMessage, linkId: number): void {
     if (message.type === "ReplicaHello") {
       this.#linkIds.set(message.id, linkId);
     }
   }
 
-  /** Sends to a replica; one that isn't linked is passed over. */
+  /** Sends to a replica; drops the message if no link to it is known. */
   send(peer: string, message: ClusterMessage): void {
     const address = this.#findAddress(peer);
     if (address !== undefined && this.#dialled.isOpen(address)) {
--- a/src/daemon/control_daemon.ts
+++ b/src/daemon/control_daemon.ts
@@ -1,4 +1,6 @@
-/** The control role: the loop of one replica, wired to its listeners. */
+/**
+ * The control role: connects the event loop of one replica to its listeners.
+ */
 import { DisposalStack } from "../base/common/disposal.ts";
 import { EventLoop } from "../base/node/event_loop.ts";
 import { parseAddress } from "../base/node/listen.ts";
@@ -53,20 +55,21 @@
 import type { ControlSettings } from "./settings.ts";
 import { Telemetry } from "./telemetry.ts";
 
-const TICK_MS = 250;
-const REPLICATION_TICK_MS = 50;
-const HANDOVER_MS = 3_000;
-const POLL_MS = 20;
+const TICK_INTERVAL_MS = 250;
+const REPLICATION_TICK_INTERVAL_MS = 50;
+/** Longest time that a drain waits for the leadership transfer. */
+const HANDOVER_TIMEOUT_MS = 3_000;
+const POLL_INTERVAL_MS = 20;
 
-/** What a control replica is built from. */
+/** Options of a control replica. */
 export interface ControlDaemonOptions {
   readonly settings: ControlSettings;
   readonly security: Security;
   readonly linkPace?: LinkPace | undefined;
   readonly quotaTerms?: QuotaTerms | undefined;
-  /** Owned by the daemon from here on. */
+  /** The daemon takes ownership and disposes of it. */
   readonly folder: DataFolder;
-  /** A write failed: the process must end. */
+  /** Called when a write failed; the process must then exit. */
   readonly onStorageError: (error: StorageError) => void;
 }
 
@@ -75,29 +78,29 @@
   readonly #settings: ControlSettings;
   readonly #security: Security;
   readonly #linkPace: LinkPace | undefined;
-  readonly #owned = new DisposalStack();
+  readonly #disposables = new DisposalStack();
   readonly #telemetry: Telemetry;
   readonly #loop: EventLoop<ReplicaState, ReplicaEvent, ReplicaEffect>;
   readonly #disk: ReplicaDisk;
-  readonly #links: LinkServer;
-  readonly #replicas: ReplicaLinks;
-  readonly #cluster: ClusterLinks;
+  readonly #linkServer: LinkServer;
+  readonly #replicaLinks: ReplicaLinks;
+  readonly #clusterLinks: ClusterLinks;
   readonly #requests: ControlRequests;
-  readonly #operator: OperatorServer;
+  readonly #operatorServer: OperatorServer;
 
   constructor(options: ControlDaemonOptions) {
     const { settings, security, folder, onStorageError } = options;
     this.#settings = settings;
     this.#security = security;
     this.#linkPace = options.linkPace;
-    this.#telemetry = this.#owned.use(new Telemetry(settings));
+    this.#telemetry = this.#disposables.use(new Telemetry(settings));
     reportSecurity(this.#telemetry.log, security);
     const dispatch = (event: ReplicaEvent) => this.#loop.dispatch(event);
-    this.#disk = this.#owned.use(
+    this.#disk = this.#disposables.use(
       new ReplicaDisk({ folder, dispatch, onError: onStorageError }),
     );
     const start = {
-      ...createStart(settings, folder),
+      ...createReplicationOptions(settings, folder),
       quotaTerms: options.quotaTerms,
     };
     this.#loop = new EventLoop({
@@ -107,68 +110,72 @@
       readClock: readSteadyMs,
       perform: (effect) => this.#perform(effect),
     });
-    this.#links = this.#owned.use(this.#createLinks());
-    this.#replicas = this.#owned.use(this.#createReplicas());
-    this.#cluster = new ClusterLinks({
-      dialled: this.#replicas,
-      accepted: this.#links,
+    this.#linkServer = this.#disposables.use(this.#createLinkServer());
+    this.#replicaLinks = this.#disposables.use(this.#createReplicaLinks());
+    this.#clusterLinks = new ClusterLinks({
+      dialled: this.#replicaLinks,
+      accepted: this.#linkServer,
       findAddress: createAddressFinder(settings),
     });
     this.#requests = new ControlRequests(dispatch);
-    this.#operator = this.#owned.use(this.#createOperator());
-    this.#createGauges();
-    this.#reportFolder(folder);
+    this.#operatorServer = this.#disposables.use(this.#createOperatorServer());
+    this.#registerGauges();
+    this.#reportDataFolder(folder);
   }
 
   /** Opens the listeners. */
   async open(): Promise<void> {
-    await this.#links.open();
-    await this.#operator.open();
-    this.#replicas.open();
-    this.#startTicks("Ticked", TICK_MS);
-    this.#startTicks("ReplicationTicked", REPLICATION_TICK_MS);
+    await this.#linkServer.open();
+    await this.#operatorServer.open();
+    this.#replicaLinks.open();
+    this.#startTicks("Ticked", TICK_INTERVAL_MS);
+    this.#startTicks("ReplicationTicked", REPLICATION_TICK_INTERVAL_MS);
     this.#telemetry.record({ type: "ProcessStarted", role: "control" });
   }
 
-  /** Replaces the routes; resolves once it is committed or refused. */
+  /** Replaces the routes; resolves when the edit is committed or refused. */
   replaceRoutes(editId: string, change: ReplaceRoutes): Promise<EditResult> {
     return this.#requests.replaceRoutes(editId, change);
   }
 
-  /** Reads the routes; undefined where no quorum vouched for them. */
+  /**
+   * Reads the routes; undefined if no quorum confirmed that they are current.
+   */
   readRoutes(): Promise<RouteDocument | undefined> {
-    return this.#requests.readCurrent(
+    return this.#requests.readConfirmed(
       () => this.#loop.state.replication.tableState.document,
     );
   }
 
-  /** Asks replicas that the settings name now. */
+  /** Adds control replicas that the reloaded settings name as seeds. */
   learnSeeds(seeds: readonly string[]): void {
     this.#telemetry.log.info({ seeds: [...seeds] }, "SettingsRead");
     this.#loop.dispatch({ type: "SeedsLearned", seeds });
   }
 
-  /** Says that changed settings can't be used; the former ones hold. */
+  /** Logs that changed settings are invalid; the previous ones stay in use. */
   reportSettings(reason: string): void {
     this.#telemetry.log.warn({ reason }, "SettingsInvalid");
   }
 
-  /** Hands leadership over, so that a planned stop needs no election. */
+  /** Transfers leadership, so that a planned stop needs no election. */
   async drain(): Promise<void> {
-    const endMs = readSteadyMs() + HANDOVER_MS;
+    const endMs = readSteadyMs() + HANDOVER_TIMEOUT_MS;
     this.#loop.dispatch({ type: "StopPlanned" });
     while (this.#isHandingOver() && readSteadyMs() < endMs) {
-      await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.#telemetry.record({ type: "ProcessStopped" });
-    await this.#owned[Symbol.asyncDispose]();
+    await this.#disposables[Symbol.asyncDispose]();
   }
 
   #startTicks(type: "Ticked" | "ReplicationTicked", everyMs: number): void {
-    this.#owned.defer(startTicks(everyMs, () => this.#loop.dispatch({ type })));
+    this.#disposables.defer(
+      startTicks(everyMs, () => this.#loop.dispatch({ type })),
+    );
   }
 
   #isHandingOver(): boolean {
@@ -179,22 +186,22 @@
   #perform(effect: ReplicaEffect): void {
     switch (effect.type) {
       case "SendToLink":
-        this.#links.send(effect.linkId, effect.message);
+        this.#linkServer.send(effect.linkId, effect.message);
         return;
       case "SendToReplicas":
-        this.#replicas.sendAll(effect.message);
+        this.#replicaLinks.sendAll(effect.message);
         return;
       case "SendToReplica":
-        this.#replicas.send(effect.replica, effect.message);
+        this.#replicaLinks.send(effect.replica, effect.message);
         return;
       case "SendToPeer":
-        this.#cluster.send(effect.peer, effect.message);
+        this.#clusterLinks.send(effect.peer, effect.message);
         return;
       case "LinkPeer":
-        this.#replicas.add(effect.peer);
+        this.#replicaLinks.add(effect.peer);
         return;
       case "UnlinkPeer":
-        this.#replicas.remove(effect.peer);
+        this.#replicaLinks.remove(effect.peer);
         return;
       case "PersistLog":
       case "PersistSnapshot":
@@ -202,10 +209,10 @@
         this.#disk.perform(effect);
         return;
       case "AnswerEdit":
-        this.#requests.answerEdit(effect.requestId, effect.result);
+        this.#requests.resolveEdit(effect.requestId, effect.result);
         return;
       case "AnswerRead":
-        this.#requests.answerRead(effect.requestId, effect.isCurrent);
+        this.#requests.resolveRead(effect.requestId, effect.isCurrent);
         return;
       case "RecordEvent":
         this.#telemetry.record(effect.event);
@@ -213,13 +220,13 @@
     }
   }
 
-  /** Records the events where the settings ask for it. */
+  /** Creates the trace recorder if the settings name a trace file. */
   #createObserver(start: ReplicationOptions) {
     const { trace } = this.#settings;
     if (trace === undefined) {
       return {};
     }
-    const recorder = this.#owned.use(
+    const recorder = this.#disposables.use(
       new TraceRecorder(trace.file, {
         format: "basilpin-trace",
         version: TRACE_VERSION,
@@ -233,7 +240,7 @@
     };
   }
 
-  #createLinks(): LinkServer {
+  #createLinkServer(): LinkServer {
     return new LinkServer({
       address: parseAddress(this.#settings.listen.link)!,
       tls: this.#security.tls,
@@ -246,7 +253,7 @@
 
   #receive(linkId: number, message: InboundMessage): void {
     if (isClusterMessage(message)) {
-      this.#cluster.observe(message, linkId);
+      this.#clusterLinks.observe(message, linkId);
       this.#loop.dispatch({ type: "ClusterMessageReceived", message });
       return;
     }
@@ -258,7 +265,7 @@
     this.#loop.dispatch({ type: "NodeMessageReceived", linkId, message });
   }
 
-  #createReplicas(): ReplicaLinks {
+  #createReplicaLinks(): ReplicaLinks {
     return new ReplicaLinks({
       id: this.#settings.id,
       tls: this.#security.tls,
@@ -278,21 +285,21 @@
     }
   }
 
-  #createOperator(): OperatorServer {
+  #createOperatorServer(): OperatorServer {
     const { timeline, metrics } = this.#telemetry;
     const readTable = () => this.#loop.state.replication.tableState;
     const routes = new Map<string, OperatorRoute>([
       ["GET /livez", () => ({ status: 200, body: { isAlive: true } })],
-      ["GET /readyz", () => this.#answerReady()],
+      ["GET /readyz", () => this.#answerReadiness()],
       ["GET /status", () => ({ status: 200, body: this.#createStatus() })],
       ["GET /timeline", () => ({ status: 200, body: timeline.list() })],
-      ["GET /table", () => this.#requests.read(() => readTable().table)],
+      ["GET /table", () => this.#requests.handleRead(() => readTable().table)],
       [
         "GET /table/history",
-        () => this.#requests.read(() => readTable().history),
+        () => this.#requests.handleRead(() => readTable().history),
       ],
-      ["POST /table/edits", (request) => this.#requests.takeEdit(request)],
-      ["POST /drain", (request) => this.#orderDrain(request)],
+      ["POST /table/edits", (request) => this.#requests.handleEdit(request)],
+      ["POST /drain", (request) => this.#requestDrain(request)],
     ]);
     return new OperatorServer({
       address: parseAddress(this.#settings.listen.operator)!,
@@ -303,13 +310,13 @@
     });
   }
 
-  /** Ready is a replica that has proved its table to be current. */
-  #answerReady(): OperatorAnswer {
+  /** Reports the replica as ready while its table is confirmed as current. */
+  #answerReadiness(): OperatorAnswer {
     const isReady = this.#loop.state.control.isTableConfirmed;
     return { status: isReady ? 200 : 503, body: { isReady } };
   }
 
-  #orderDrain(request: OperatorRequest): OperatorAnswer {
+  #requestDrain(request: OperatorRequest): OperatorAnswer {
     const nodeId = request.query.get("node") ?? "";
     const { members } = this.#loop.state.control.membership;
     if (!members.has(nodeId)) {
@@ -333,7 +340,7 @@
     };
   }
 
-  #createGauges(): void {
+  #registerGauges(): void {
     const { metrics } = this.#telemetry;
     const readState = () => this.#loop.state;
     metrics.createGauge(
@@ -377,7 +384,7 @@
     );
   }
 
-  #reportFolder({ replicaId, isNew, cutBytes }: DataFolder): void {
+  #reportDataFolder({ replicaId, isNew, cutBytes }: DataFolder): void {
     const { log } = this.#telemetry;
     log.info({ replicaId, isNew }, "Data folder is open");
     if (cutBytes > 0) {
@@ -386,8 +393,10 @@
   }
 }
 
-/** What the replica starts from. */
-function createStart(
+/**
+ * Creates the initial options of the replica from the settings and the disk.
+ */
+function createReplicationOptions(
   settings: ControlSettings,
   folder: DataFolder,
 ): ReplicationOptions {
--- a/src/daemon/control_requests.ts
+++ b/src/daemon/control_requests.ts
@@ -1,4 +1,4 @@
-/** Operators' requests that wait for the replicated state. */
+/** Requests of operators that wait for the replicated state. */
 import type { EditResult } from "../engine/link/common/cluster_messages.ts";
 import type {
   ReplaceRoutes,
@@ -10,26 +10,29 @@
 import { parseEditBody } from "./edit_body.ts";
 import type { OperatorAnswer, OperatorRequest } from "./operator_server.ts";
 
-const NOT_ACCEPTED = "No quorum of the control replicas is in reach: " +
+const EDIT_NOT_ACCEPTED = "No quorum of the control replicas is in reach: " +
   "the edit was not accepted";
-const UNKNOWN = "No quorum confirmed the edit in time: it is not accepted " +
+const EDIT_OUTCOME_UNKNOWN =
+  "No quorum confirmed the edit in time: it is not accepted " +
   "yet, but may be; send it again with the same edit id to find out";
-const NOT_CURRENT = "No quorum of the control replicas is in reach: " +
+const TABLE_NOT_CONFIRMED = "No quorum of the control replicas is in reach: " +
   "this replica can't tell whether its table is current";
 
-/** Matches requests with the effects that answer them. */
+/**
+ * Matches pending requests with the effects that answer them, by request id.
+ */
 export class ControlRequests {
   readonly #dispatch: (event: ReplicationEvent) => void;
   readonly #edits = new Map<number, (result: EditResult) => void>();
   readonly #reads = new Map<number, (isCurrent: boolean) => void>();
-  #next = 1;
+  #nextRequestId = 1;
 
   constructor(dispatch: (event: ReplicationEvent) => void) {
     this.#dispatch = dispatch;
   }
 
-  /** Takes an edit; answers once it is committed or refused. */
-  takeEdit(request: OperatorRequest): Promise<OperatorAnswer> {
+  /** Handles an edit; answers when it is committed or refused. */
+  handleEdit(request: OperatorRequest): Promise<OperatorAnswer> {
     return parseEditBody(request.body).match(
       async ({ editId, change }) => {
         const { operator } = request;
@@ -45,38 +48,38 @@
     );
   }
 
-  /** Replaces the routes; `editId` names the replacement in any resend. */
+  /** Replaces the routes; a resend with the same `editId` is the same edit. */
   replaceRoutes(editId: string, change: ReplaceRoutes): Promise<EditResult> {
     const operator = "unknown";
     return this.#requestEdit({ editId, operator, atMs: Date.now(), change });
   }
 
-  /** Reads the routes; undefined where no quorum vouched for them. */
-  async readCurrent<T>(readValue: () => T): Promise<T | undefined> {
+  /** Reads a value; undefined if no quorum confirmed that it is current. */
+  async readConfirmed<T>(readValue: () => T): Promise<T | undefined> {
     return await this.#confirmRead() ? readValue() : undefined;
   }
 
-  /** Answers with `readBody` once a quorum vouched for the table. */
-  async read(readBody: () => unknown): Promise<OperatorAnswer> {
+  /** Answers 200 with `readBody` if a quorum confirms the table, else 503. */
+  async handleRead(readBody: () => unknown): Promise<OperatorAnswer> {
     return await this.#confirmRead()
       ? { status: 200, body: readBody() }
-      : { status: 503, body: { message: NOT_CURRENT } };
+      : { status: 503, body: { message: TABLE_NOT_CONFIRMED } };
   }
 
-  /** Answers an edit. */
-  answerEdit(requestId: number, result: EditResult): void {
+  /** Resolves the pending edit; an unknown request id has no effect. */
+  resolveEdit(requestId: number, result: EditResult): void {
     this.#edits.get(requestId)?.(result);
     this.#edits.delete(requestId);
   }
 
-  /** Answers a read. */
-  answerRead(requestId: number, isCurrent: boolean): void {
+  /** Resolves the pending read; an unknown request id has no effect. */
+  resolveRead(requestId: number, isCurrent: boolean): void {
     this.#reads.get(requestId)?.(isCurrent);
     this.#reads.delete(requestId);
   }
 
   #confirmRead(): Promise<boolean> {
-    const requestId = this.#next++;
+    const requestId = this.#nextRequestId++;
     return new Promise((resolve) => {
       this.#reads.set(requestId, resolve);
       this.#dispatch({ type: "TableReadRequested", requestId });
@@ -84,7 +87,7 @@
   }
 
   #requestEdit(edit: TableEdit): Promise<EditResult> {
-    const requestId = this.#next++;
+    const requestId = this.#nextRequestId++;
     return new Promise((resolve) => {
       this.#edits.set(requestId, resolve);
       this.#dispatch({ type: "EditRequested", requestId, edit });
@@ -94,7 +97,7 @@
 
 function createEditAnswer(result: EditResult): OperatorAnswer {
   if (result.type === "EditRefused") {
-    const message = result.isUnknown ? UNKNOWN : NOT_ACCEPTED;
+    const message = result.isUnknown ? EDIT_OUTCOME_UNKNOWN : EDIT_NOT_ACCEPTED;
     return { status: 503, body: { message } };
   }
   const { outcome } = result;
--- a/src/daemon/replica_disk.ts
+++ b/src/daemon/replica_disk.ts
@@ -1,4 +1,4 @@
-/** Carries a replica's writes to its data folder, and says when they last. */
+/** Writes the state of a replica to its data folder and reports completion. */
 import { createFoundingSnapshot } from "../engine/consensus/common/recovery.ts";
 import type {
   ReplicationEffect,
@@ -7,17 +7,17 @@
 import type { StorageError } from "../engine/storage/common/storage_error.ts";
 import type { DataFolder } from "../engine/storage/node/data_folder.ts";
 
-/** An effect that ends on the disk. */
+/** An effect that writes to the disk. */
 export type DiskEffect = Extract<
   ReplicationEffect,
   { type: "PersistLog" | "PersistSnapshot" | "StoreFounding" }
 >;
 
-/** What the disk is wired to. */
+/** Options of the disk. */
 export interface ReplicaDiskOptions {
   readonly folder: DataFolder;
   readonly dispatch: (event: ReplicationEvent) => void;
-  /** A write failed: nothing more may be answered for. */
+  /** Called when a write failed; the replica must then answer nothing more. */
   readonly onError: (error: StorageError) => void;
 }
 
@@ -30,14 +30,14 @@
     this.#options = options;
   }
 
-  /** Writes and syncs, in the order of the calls; then says so. */
+  /** Writes and syncs in call order, then dispatches the completion event. */
   perform(effect: DiskEffect): void {
     if (this.#isClosed) {
       return;
     }
     const { dispatch, onError } = this.#options;
     this.#write(effect).then((written) =>
-      written.match(() => dispatch(createDone(effect)), onError)
+      written.match(() => dispatch(createCompletionEvent(effect)), onError)
     );
   }
 
@@ -69,7 +69,7 @@
   }
 }
 
-function createDone(effect: DiskEffect): ReplicationEvent {
+function createCompletionEvent(effect: DiskEffect): ReplicationEvent {
   switch (effect.type) {
     case "PersistLog":
     case "PersistSnapshot":
