--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `basilpind`: starts one process in the role that its settings name. */
+/** `basilpind`: runs one process in the role that its settings name. */
 import process from "node:process";
 import { Command } from "commander";
 import { describeStorageError } from "../engine/storage/common/storage_error.ts";
@@ -11,15 +11,20 @@
 
 const EXIT_OK = 0;
 const EXIT_FAILED = 1;
-const EXIT_SETTINGS = 2;
+const EXIT_INVALID_SETTINGS = 2;
 
 interface Daemon extends AsyncDisposable {
   open(): Promise<void>;
-  /** Resolves once nothing is in progress. */
+  /**
+   * Resolves when the process can stop: work has finished or is handed over.
+   */
   drain(): Promise<void>;
 }
 
-/** Loads the modules of one role only: a node has little memory to spare. */
+/**
+ * Creates the daemon of the role. Imports only the modules of that role, to
+ * limit the memory of a node, which shares its VM with a backend server.
+ */
 async function createDaemon(
   settings: Settings,
   security: Security,
@@ -44,7 +49,10 @@
   });
 }
 
-/** A replica that can't vouch for its disk must not answer for anything. */
+/**
+ * Exits on a storage error: a replica that may have lost acknowledged writes
+ * must not answer any message.
+ */
 function failStorage(error: StorageError): never {
   process.stderr.write(`${describeStorageError(error)}\n`);
   process.exit(EXIT_FAILED);
@@ -63,6 +71,7 @@
   }
   let isStopping = false;
   const stop = async () => {
+    // A second signal ends a drain that takes too long.
     if (isStopping) {
       process.exit(EXIT_FAILED);
     }
@@ -81,7 +90,7 @@
   .requiredOption("--settings <file>", "TOML settings of this process")
   .option("--check", "check the settings and exit")
   .exitOverride((error) => {
-    process.exit(error.exitCode === 0 ? EXIT_OK : EXIT_SETTINGS);
+    process.exit(error.exitCode === 0 ? EXIT_OK : EXIT_INVALID_SETTINGS);
   });
 program.parse();
 const options = program.opts<{ settings: string; check?: boolean }>();
@@ -100,6 +109,6 @@
   },
   (error) => {
     process.stderr.write(`${error.message}\n`);
-    process.exit(EXIT_SETTINGS);
+    process.exit(EXIT_INVALID_SETTINGS);
   },
 );
--- a/src/daemon/node_daemon.ts
+++ b/src/daemon/node_daemon.ts
@@ -1,4 +1,4 @@
-/** The node role: the loop of one node, wired to its listeners. */
+/** The node role: connects the event loop of one node to its listeners. */
 import { EventLoop } from "../base/node/event_loop.ts";
 import { FirstRequests } from "../base/node/first_requests.ts";
 import { LoopWatch } from "../base/node/loop_watch.ts";
@@ -31,7 +31,7 @@
 import { TraceRecorder } from "../engine/trace/node/trace_recorder.ts";
 import { OperatorServer } from "./operator_server.ts";
 import {
-  answerReady,
+  answerReadiness,
   createNodeStatus,
   registerNodeGauges,
 } from "./node_report.ts";
@@ -42,34 +42,34 @@
 import { Telemetry } from "./telemetry.ts";
 import { TimerSet } from "./timer_set.ts";
 
-/** How long a drain waits for subscribers to hear of it. */
-const DRAIN_SPREAD_MS = 1_000;
-const IDLE_POLL_MS = 20;
+/** Time that a drain gives its announcement to reach the subscribers. */
+const DRAIN_NOTICE_MS = 1_000;
+const POLL_INTERVAL_MS = 20;
 
 /** A running node. */
 export class NodeDaemon implements AsyncDisposable {
   readonly #settings: NodeSettings;
   readonly #security: Security;
-  readonly #owned = new DisposalStack();
+  readonly #disposables = new DisposalStack();
   readonly #telemetry: Telemetry;
   readonly #loop: EventLoop<NodeState, NodeEvent, NodeEffect>;
-  readonly #watch = new LoopWatch({
+  readonly #loopWatch = new LoopWatch({
     readClock: readSteadyMs,
     periodMs: TICK_MS,
   });
   readonly #firstRequests = new FirstRequests(readSteadyMs);
-  readonly #calls: CallServer;
-  readonly #link: LinkClient<ControlMessage, NodeMessage>;
+  readonly #callServer: CallServer;
+  readonly #controlLink: LinkClient<ControlMessage, NodeMessage>;
   readonly #timers: TimerSet;
-  readonly #peers: PeerClient;
-  readonly #operator: OperatorServer;
-  #replica: string | undefined;
+  readonly #peerClient: PeerClient;
+  readonly #operatorServer: OperatorServer;
+  #linkedReplica: string | undefined;
   #linkNumber = 0;
 
   constructor(settings: NodeSettings, security: Security) {
     this.#settings = settings;
     this.#security = security;
-    this.#telemetry = this.#owned.use(new Telemetry(settings));
+    this.#telemetry = this.#disposables.use(new Telemetry(settings));
     reportSecurity(this.#telemetry.log, security);
     const self = createAnnouncement(settings);
     const backendAddress = settings.backend.address;
@@ -81,52 +81,52 @@
       perform: (effect) => this.#perform(effect),
     });
     const dispatch = (event: NodeEvent) => this.#loop.dispatch(event);
-    this.#timers = this.#owned.use(
+    this.#timers = this.#disposables.use(
       new TimerSet((key) => dispatch({ type: "TimerFired", key })),
     );
-    this.#calls = this.#owned.use(this.#createCalls(dispatch));
-    this.#peers = this.#owned.use(
+    this.#callServer = this.#disposables.use(this.#createCallServer(dispatch));
+    this.#peerClient = this.#disposables.use(
       new PeerClient({ tls: security.tls, clock: this.#telemetry.clock }),
     );
-    this.#link = this.#owned.use(this.#createLink());
-    this.#operator = this.#owned.use(this.#createOperator());
+    this.#controlLink = this.#disposables.use(this.#createControlLink());
+    this.#operatorServer = this.#disposables.use(this.#createOperatorServer());
     registerNodeGauges(this.#telemetry.metrics, () => this.#loop.state);
   }
 
-  /** Opens the listeners and starts to announce. */
+  /** Opens the listeners and the link to control, and starts the ticks. */
   async open(): Promise<void> {
-    await this.#calls.open();
-    await this.#operator.open();
-    this.#link.open();
+    await this.#callServer.open();
+    await this.#operatorServer.open();
+    this.#controlLink.open();
     const tick = setInterval(() => {
-      this.#watch.tick();
+      this.#loopWatch.tick();
       this.#loop.dispatch({ type: "Ticked" });
     }, TICK_MS);
-    this.#owned.defer(() => clearInterval(tick));
-    this.#startHints();
+    this.#disposables.defer(() => clearInterval(tick));
+    this.#startHintPolling();
     this.#telemetry.record({ type: "ProcessStarted", role: "node" });
   }
 
   /**
-   * Takes no new work and resolves when all calls are finished. The calls of
-   * the local backend server end first: until then callers and it are served
-   * as ever. The listeners close after them.
+   * Announces the drain and resolves when all calls have ended. Until the calls
+   * that the local backend server serves have ended, its own calls and those of
+   * callers are served as before. Then the listeners close.
    */
   async drain(): Promise<void> {
     this.#loop.dispatch({ type: "DrainRequested" });
-    await waitMs(DRAIN_SPREAD_MS);
+    await waitMs(DRAIN_NOTICE_MS);
     await waitUntil(() => this.#loop.state.served.size === 0);
-    this.#link.send({ type: "Leave" });
-    this.#calls.close();
+    this.#controlLink.send({ type: "Leave" });
+    this.#callServer.close();
     await waitUntil(() =>
-      isIdle(this.#loop.state) && this.#calls.openCount === 0
+      isIdle(this.#loop.state) && this.#callServer.openCount === 0
     );
     this.#telemetry.record({ type: "DrainEnded" });
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.#telemetry.record({ type: "ProcessStopped" });
-    await this.#owned[Symbol.asyncDispose]();
+    await this.#disposables[Symbol.asyncDispose]();
   }
 
   #perform(effect: NodeEffect): void {
@@ -138,53 +138,56 @@
         this.#timers.stop(effect.key);
         return;
       case "SubscribeService":
-        this.#link.send({ type: "Subscribe", service: effect.service });
+        this.#controlLink.send({ type: "Subscribe", service: effect.service });
         return;
       case "UnsubscribeService":
-        this.#link.send({ type: "Unsubscribe", service: effect.service });
+        this.#controlLink.send({
+          type: "Unsubscribe",
+          service: effect.service,
+        });
         return;
       case "SendAnnouncement":
         if (effect.announcement.isDraining) {
-          this.#calls.drain();
+          this.#callServer.drain();
         }
         this.#announce(effect.announcement);
         return;
       case "AskPeer":
-        this.#askPeer(effect);
+        this.#requestFromPeer(effect);
         return;
       case "ReportCopied":
-        this.#link.send(effect);
+        this.#controlLink.send(effect);
         return;
       case "ConfirmTable":
-        this.#link.send(this.#createHeartbeat());
+        this.#controlLink.send(this.#createHeartbeat());
         return;
       case "RecordEvent":
         this.#telemetry.record(effect.event);
         return;
       default:
-        this.#calls.perform(effect);
+        this.#callServer.perform(effect);
     }
   }
 
-  #askPeer(effect: Extract<NodeEffect, { type: "AskPeer" }>): void {
+  #requestFromPeer(effect: Extract<NodeEffect, { type: "AskPeer" }>): void {
     const { requestId } = effect;
     const isOwn = effect.address === this.#loop.state.self.ingress &&
       !effect.isFresh;
-    const asked = isOwn
-      ? this.#calls.ask(effect.message)
-      : this.#peers.send(effect);
-    asked.then((reply) => {
+    const replied = isOwn
+      ? this.#callServer.ask(effect.message)
+      : this.#peerClient.send(effect);
+    replied.then((reply) => {
       this.#loop.dispatch({ type: "PeerReplied", requestId, reply });
     });
   }
 
-  /** Records the events where the settings ask for it. */
+  /** Creates the trace recorder if the settings name a trace file. */
   #createObserver(self: Announcement) {
     const { trace, backend } = this.#settings;
     if (trace === undefined) {
       return {};
     }
-    const recorder = this.#owned.use(
+    const recorder = this.#disposables.use(
       new TraceRecorder(trace.file, {
         format: "basilpin-trace",
         version: TRACE_VERSION,
@@ -199,13 +202,13 @@
     };
   }
 
-  /** The platform's endpoints are asked where the settings name them. */
-  #startHints(): void {
+  /** Polls the platform's health and load endpoints that the settings name. */
+  #startHintPolling(): void {
     const { address, health_path, load_path } = this.#settings.backend;
-    if (!hasHints(this.#settings)) {
+    if (!hasHintEndpoints(this.#settings)) {
       return;
     }
-    const poller = this.#owned.use(
+    const poller = this.#disposables.use(
       new HintPoller({
         address,
         healthPath: health_path,
@@ -216,13 +219,15 @@
     poller.start();
   }
 
-  #createCalls(dispatch: (event: NodeEvent) => void): CallServer {
+  #createCallServer(dispatch: (event: NodeEvent) => void): CallServer {
     const { listen, backend } = this.#settings;
-    const hintConnections = hasHints(this.#settings) ? HINT_CONNECTIONS : 0;
+    const hintConnections = hasHintEndpoints(this.#settings)
+      ? HINT_CONNECTIONS
+      : 0;
     return new CallServer({
-      loop: this.#watch,
+      loop: this.#loopWatch,
       recordConnection: () => {
-        this.#watch.noteAccepted();
+        this.#loopWatch.noteAccepted();
         this.#firstRequests.noteAccepted();
       },
       firstRequests: this.#firstRequests,
@@ -239,19 +244,19 @@
     });
   }
 
-  #createLink(): LinkClient<ControlMessage, NodeMessage> {
+  #createControlLink(): LinkClient<ControlMessage, NodeMessage> {
     return new LinkClient<ControlMessage, NodeMessage>({
       id: this.#settings.id,
       tls: this.#security.tls,
       replicas: this.#settings.control.replicas,
       onMessage: (message) => this.#receive(message),
       onOpen: (replica, linkNumber) => {
-        this.#replica = replica;
+        this.#linkedReplica = replica;
         this.#linkNumber = linkNumber;
-        this.#introduce();
+        this.#registerWithReplica();
       },
       onClose: () => {
-        this.#replica = undefined;
+        this.#linkedReplica = undefined;
       },
       readConfirmed: (message) =>
         "isConfirmed" in message ? message.isConfirmed : undefined,
@@ -267,17 +272,17 @@
     } as const;
   }
 
-  /** Tells a replica that is newly linked all that it has to know. */
-  #introduce(): void {
+  /** Sends the announcement and all subscriptions to a newly linked replica. */
+  #registerWithReplica(): void {
     const { self, subscriptions } = this.#loop.state;
     this.#announce(self);
     for (const service of subscriptions.keys()) {
-      this.#link.send({ type: "Subscribe", service });
+      this.#controlLink.send({ type: "Subscribe", service });
     }
   }
 
   #announce(announcement: Announcement): void {
-    this.#link.send({
+    this.#controlLink.send({
       type: "Announce",
       announcement,
       linkNumber: this.#linkNumber,
@@ -298,18 +303,18 @@
       this.#loop.dispatch(event);
     }
     if (reply !== undefined) {
-      this.#link.send(reply);
+      this.#controlLink.send(reply);
     }
   }
 
-  #createOperator(): OperatorServer {
+  #createOperatorServer(): OperatorServer {
     const { timeline, metrics } = this.#telemetry;
     const routes = new Map<string, OperatorRoute>([
       ["GET /livez", () => ({ status: 200, body: { isAlive: true } })],
-      ["GET /readyz", () => answerReady(this.#loop.state)],
+      ["GET /readyz", () => answerReadiness(this.#loop.state)],
       ["GET /status", () => ({
         status: 200,
-        body: createNodeStatus(this.#loop.state, this.#replica),
+        body: createNodeStatus(this.#loop.state, this.#linkedReplica),
       })],
       ["GET /timeline", () => ({ status: 200, body: timeline.list() })],
       ["POST /drain", () => {
@@ -327,7 +332,7 @@
   }
 }
 
-function hasHints({ backend }: NodeSettings): boolean {
+function hasHintEndpoints({ backend }: NodeSettings): boolean {
   return backend.health_path !== undefined || backend.load_path !== undefined;
 }
 
@@ -350,7 +355,7 @@
 
 async function waitUntil(isMet: () => boolean): Promise<void> {
   while (!isMet()) {
-    await waitMs(IDLE_POLL_MS);
+    await waitMs(POLL_INTERVAL_MS);
   }
 }
 
--- a/src/daemon/node_report.ts
+++ b/src/daemon/node_report.ts
@@ -1,11 +1,11 @@
-/** What a node tells operators and scrapes of itself. */
+/** Status, readiness and gauges of a node. */
 import { readSteadyMs } from "../base/node/steady_clock.ts";
 import { computeCapacity } from "../engine/admission/common/admission_capacity.ts";
 import type { NodeState } from "../engine/call/common/node_state.ts";
 import type { Metrics } from "../engine/telemetry/node/metrics.ts";
 import type { OperatorAnswer } from "./operator_server.ts";
 
-/** Reads the state as it stands. */
+/** Reads the current state. */
 export type ReadNodeState = () => NodeState;
 
 interface NodeGauge {
@@ -52,7 +52,7 @@
   },
 ];
 
-/** Adds the gauges of a node to its metrics. */
+/** Registers the gauges of a node with its metrics. */
 export function registerNodeGauges(
   metrics: Metrics,
   readState: ReadNodeState,
@@ -62,13 +62,15 @@
   }
 }
 
-/** Ready is a node that has a table and takes new work. */
-export function answerReady({ table, self }: NodeState): OperatorAnswer {
+/** Reports the node as ready if it has a table and is not draining. */
+export function answerReadiness({ table, self }: NodeState): OperatorAnswer {
   const isReady = table.version > 0 && !self.isDraining;
   return { status: isReady ? 200 : 503, body: { isReady } };
 }
 
-/** Creates what `GET /status` shows; `replica` is the one that is linked. */
+/**
+ * Creates the body of `GET /status`; `replica` is the linked control replica.
+ */
 export function createNodeStatus(
   state: NodeState,
   replica: string | undefined,
--- a/src/daemon/telemetry.ts
+++ b/src/daemon/telemetry.ts
@@ -1,4 +1,4 @@
-/** Logs, metrics and the time line of one process, behind one recorder. */
+/** Log, metrics and timeline of one process, behind one recorder. */
 import type { Logger } from "roarr";
 import {
   checkClock,
@@ -11,7 +11,7 @@
 import { Metrics } from "../engine/telemetry/node/metrics.ts";
 import type { LogLevel } from "../engine/telemetry/node/log.ts";
 
-/** Whose telemetry it is. */
+/** Identity of the process and its log level. */
 export interface TelemetrySettings {
   readonly id: string;
   readonly role: "node" | "control";
@@ -19,19 +19,23 @@
   readonly log: { readonly level: LogLevel };
 }
 
-/** What a process tells of itself. */
+/** Records the events of a process in its timeline, metrics and log. */
 export class Telemetry implements AsyncDisposable {
   readonly log: Logger;
   readonly metrics = new Metrics();
   readonly timeline: Timeline;
-  /** A line for each request is built only where it is written. */
+  /**
+   * Whether events of single requests are logged: at levels debug and trace.
+   */
   readonly #isRequestLogged: boolean;
-  /** Rides on what this process sends. */
+  /**
+   * Clock that this process attaches to the messages and calls that it sends.
+   */
   readonly clock: ProcessClock = {
     read: () => this.timeline.clock,
     observe: (received) => this.#observeClock(received),
   };
-  #hasWarned = false;
+  #hasWarnedOfClock = false;
 
   constructor(settings: TelemetrySettings) {
     const { id, role, data_centre: dataCentre, log } = settings;
@@ -40,7 +44,7 @@
     this.#isRequestLogged = log.level === "debug" || log.level === "trace";
   }
 
-  /** Keeps, counts and logs an event. */
+  /** Records an event in the timeline, counts it and logs it. */
   record(event: TimelineEvent): void {
     this.timeline.record(event, Date.now());
     this.metrics.countEvent(event);
@@ -54,10 +58,10 @@
 
   #observeClock(received: unknown): void {
     const clock = decodeClock(received) ?? checkClock(received);
-    const isBelieved = clock === undefined ||
+    const isAccepted = clock === undefined ||
       this.timeline.observeClock(clock, Date.now());
-    if (!isBelieved && !this.#hasWarned) {
-      this.#hasWarned = true;
+    if (!isAccepted && !this.#hasWarnedOfClock) {
+      this.#hasWarnedOfClock = true;
       this.log.warn({ ...clock }, "A clock far ahead of this one is ignored");
     }
   }
--- a/src/daemon/timer_set.ts
+++ b/src/daemon/timer_set.ts
@@ -1,8 +1,8 @@
-/** Timers by key, so that a reducer can start and stop them as effects. */
+/** Timers by key, which reducers start and stop through effects. */
 import { readSteadyMs } from "../base/node/steady_clock.ts";
 import type { TimerKey } from "../engine/call/common/call_events.ts";
 
-/** Owns the timers of one loop. */
+/** Owns the timers of one event loop. */
 export class TimerSet implements AsyncDisposable {
   readonly #fire: (key: TimerKey) => void;
   readonly #timers = new Map<string, NodeJS.Timeout>();
@@ -11,7 +11,7 @@
     this.#fire = fire;
   }
 
-  /** Starts or moves a timer; `atMs` is the wall clock in milliseconds. */
+  /** Starts or reschedules a timer; `atMs` is a time of the steady clock. */
   start(key: TimerKey, atMs: number): void {
     this.stop(key);
     const name = formatKey(key);
@@ -22,7 +22,7 @@
     this.#timers.set(name, timer);
   }
 
-  /** Stops a timer; one that isn't running is passed over. */
+  /** Stops a timer; has no effect if it is not running. */
   stop(key: TimerKey): void {
     const name = formatKey(key);
     clearTimeout(this.#timers.get(name));
