--- a/src/daemon/edit_body.ts
+++ b/src/daemon/edit_body.ts
@@ -1,11 +1,11 @@
-/** Checks the body of an edit that an operator sends. */
+/** Parses and validates the body of an edit request from an operator. */
 import { err, ok, type Result } from "neverthrow";
 import * as v from "valibot";
 import type { TableChange } from "../engine/table/common/table_reducer.ts";
 import { parseRow } from "../engine/table/common/table_schema.ts";
 import type { BadCell, DraftRow } from "../engine/table/common/table_schema.ts";
 
-/** An edit before it has an operator and a time. */
+/** An edit as sent, without the operator and the time. */
 export interface EditBody {
   readonly editId: string;
   readonly change: TableChange;
@@ -28,7 +28,10 @@
   ]),
 });
 
-/** Reads an edit; rows come as cells, just as they stand in CSV. */
+/**
+ * Parses an edit. Rows are given as cells, by column and with the same text as
+ * in the CSV form of the table. An error has one line for each invalid cell.
+ */
 export function parseEditBody(body: unknown): Result<EditBody, string> {
   const parsed = v.safeParse(BODY, body);
   if (!parsed.success) {
@@ -45,7 +48,7 @@
           editId,
           change: { type: "PutRow", ...draft },
         }))
-        .mapErr((bad) => bad.map(describeCell).join("\n"));
+        .mapErr((badCells) => badCells.map(describeCell).join("\n"));
     case "ReplaceRows":
       return parseRows(change.rows).map((rows) => ({
         editId,
@@ -64,11 +67,12 @@
   const drafts: DraftRow[] = [];
   const reasons: string[] = [];
   lines.forEach((cells, index) => {
+    // Line numbers of the CSV form: they begin at 1 with the header.
     parseRow(cells, index + 2).match(
       (draft) => drafts.push(draft),
-      (bad) =>
+      (badCells) =>
         reasons.push(
-          ...bad.map((cell) => `line ${cell.line}, ${describeCell(cell)}`),
+          ...badCells.map((cell) => `line ${cell.line}, ${describeCell(cell)}`),
         ),
     );
   });
--- a/src/daemon/operator_credentials.ts
+++ b/src/daemon/operator_credentials.ts
@@ -1,11 +1,11 @@
-/** Operators' credentials: which operator a bearer token belongs to. */
+/** Credentials of operators: maps bearer tokens to operator names. */
 import { createHash, timingSafeEqual } from "node:crypto";
 import { readFileSync } from "node:fs";
 import { err, ok, type Result } from "neverthrow";
 import { parse as parseToml } from "smol-toml";
 import * as v from "valibot";
 
-/** SHA-256 of the tokens, by the operators' names. */
+/** SHA-256 digests of the tokens, by operator name. */
 export type OperatorCredentials = ReadonlyMap<string, Uint8Array>;
 
 const EXPECTED = 'expected lines of name = "SHA-256 of the token in hex"';
@@ -15,7 +15,7 @@
   v.pipe(v.string(), v.regex(/^[0-9a-f]{64}$/)),
 );
 
-/** Reads a file of credentials; an error is one line without the file. */
+/** Reads a credentials file; an error is one line without the file name. */
 export function readCredentials(
   file: string,
 ): Result<OperatorCredentials, string> {
@@ -39,7 +39,8 @@
 
 /**
  * Finds the operator whose token an `authorization` header carries (RFC 6750).
- * The time that it takes doesn't tell how much of a token was right.
+ * Compares with all digests in constant time, so that the time taken reveals
+ * nothing about how much of a token matched.
  */
 export function findOperator(
   credentials: OperatorCredentials,
@@ -50,11 +51,11 @@
     return undefined;
   }
   const digest = createHash("sha256").update(token).digest();
-  let found: string | undefined;
+  let operator: string | undefined;
   for (const [name, known] of credentials) {
     if (timingSafeEqual(digest, known)) {
-      found = name;
+      operator = name;
     }
   }
-  return found;
+  return operator;
 }
--- a/src/daemon/operator_server.ts
+++ b/src/daemon/operator_server.ts
@@ -1,31 +1,35 @@
-/** The operators' HTTP listener, on either role. */
+/** The HTTP listener for operators, in both roles. */
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { listen, type ListenAddress } from "../base/node/listen.ts";
 import { createServer } from "../base/node/tls.ts";
 import { findOperator } from "./operator_credentials.ts";
 import type { Security } from "./security.ts";
 
-/** What a route answers. */
+/** The answer of a route; `body` is sent as JSON. */
 export interface OperatorAnswer {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** What a route is given. */
+/** A request as passed to a route. */
 export interface OperatorRequest {
   readonly query: URLSearchParams;
-  /** Parsed JSON; undefined where there was no body. */
+  /** Parsed JSON; undefined if the request has no body. */
   readonly body: unknown;
-  /** By the credential, or where there are none, as the request says. */
+  /**
+   * Name of the operator: by the bearer token for a change where credentials
+   * are configured, else from the `basilpin-operator` header, which is not
+   * verified.
+   */
   readonly operator: string;
 }
 
-/** Answers one kind of operator's request. */
+/** Handles the requests of one method and path. */
 export type OperatorRoute = (
   request: OperatorRequest,
 ) => OperatorAnswer | Promise<OperatorAnswer>;
 
-/** What the listener is built from. */
+/** Options of the listener. */
 export interface OperatorServerOptions {
   readonly address: ListenAddress;
   readonly security: Pick<Security, "tls" | "credentials">;
@@ -39,7 +43,7 @@
 
 const MAX_BODY_BYTES = 8 * 1024 * 1024;
 
-/** Serves status, time line, metrics and, on control, the table. */
+/** Serves status, timeline, metrics and, in the control role, the table. */
 export class OperatorServer implements AsyncDisposable {
   readonly #options: OperatorServerOptions;
   readonly #server: Server;
@@ -49,7 +53,7 @@
     const { tls } = options.security;
     const server = { tls, isMutual: false };
     this.#server = createServer(server, (request, response) => {
-      this.#receive(request, response).catch(() => response.destroy());
+      this.#handleRequest(request, response).catch(() => response.destroy());
     });
   }
 
@@ -63,7 +67,7 @@
     await new Promise<void>((resolve) => this.#server.close(() => resolve()));
   }
 
-  async #receive(
+  async #handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -75,14 +79,17 @@
     const operator = this.#readOperator(request);
     if (operator === undefined) {
       request.resume();
-      writeJson(response, createDenial(request.headers.authorization));
+      writeJson(
+        response,
+        createUnauthorizedAnswer(request.headers.authorization),
+      );
       return;
     }
     const name = `${request.method} ${url.pathname}`;
     const route = this.#options.routes.get(name);
     const body = await readBody(request);
     const answer = route === undefined
-      ? createNotFound(name, [...this.#options.routes.keys()])
+      ? createNotFoundAnswer(name, [...this.#options.routes.keys()])
       : "malformed" in body
       ? { status: 400, body: { message: "Body is not JSON" } }
       : await route({
@@ -93,7 +100,7 @@
     writeJson(response, answer);
   }
 
-  /** Undefined where a change is asked for without a known token. */
+  /** Returns the operator; undefined for a change without a valid token. */
   #readOperator(request: IncomingMessage): string | undefined {
     const { credentials } = this.#options.security;
     const isRead = request.method === "GET" || request.method === "HEAD";
@@ -114,14 +121,14 @@
   response.end(text);
 }
 
-function createDenial(header: string | undefined): OperatorAnswer {
+function createUnauthorizedAnswer(header: string | undefined): OperatorAnswer {
   const message = header === undefined
     ? "A change needs an operator's token, and none was sent"
     : "No operator has this token";
   return { status: 401, body: { message } };
 }
 
-function createNotFound(
+function createNotFoundAnswer(
   name: string,
   routes: readonly string[],
 ): OperatorAnswer {
@@ -129,9 +136,9 @@
   return { status: 404, body: { message } };
 }
 
-type Body = { readonly value: unknown } | { readonly malformed: true };
+type ParsedBody = { readonly value: unknown } | { readonly malformed: true };
 
-async function readBody(request: IncomingMessage): Promise<Body> {
+async function readBody(request: IncomingMessage): Promise<ParsedBody> {
   const chunks: Uint8Array[] = [];
   let total = 0;
   for await (const chunk of request) {
--- a/src/daemon/security.ts
+++ b/src/daemon/security.ts
@@ -1,4 +1,4 @@
-/** What the settings say of TLS and of operators, read from their files. */
+/** TLS keys and operator credentials, read from the files in the settings. */
 import { err, ok, type Result } from "neverthrow";
 import type { Logger } from "roarr";
 import { readTlsKeys } from "../base/node/tls.ts";
@@ -7,17 +7,17 @@
 import type { OperatorCredentials } from "./operator_credentials.ts";
 import type { Settings, SettingsError } from "./settings.ts";
 
-/** How a process protects its listeners. */
+/** Protection of the listeners of a process. */
 export interface Security {
-  /** Undefined where the settings ask for plain text. */
+  /** Undefined for plaintext transport. */
   readonly tls: TlsKeys | undefined;
-  /** Whether callers reach the edge listener by TLS. */
+  /** Whether callers connect to the edge listener with TLS. */
   readonly isEdgeTls: boolean;
-  /** Undefined where anyone may edit. */
+  /** Undefined if edits need no credentials. */
   readonly credentials: OperatorCredentials | undefined;
 }
 
-/** Reads the files that the settings name; `file` is for messages. */
+/** Reads the files that the settings name; `file` is used in error messages. */
 export function readSecurity(
   file: string,
   settings: Settings,
@@ -32,7 +32,7 @@
   );
 }
 
-/** Says in the log what is left unprotected. */
+/** Logs a warning for each listener protection that is not configured. */
 export function reportSecurity(log: Logger, security: Security): void {
   if (security.tls === undefined) {
     log.warn(
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -1,11 +1,11 @@
-/** The settings of a process: TOML, checked by a schema. */
+/** Settings of a process: TOML, validated by a schema. */
 import { readFileSync } from "node:fs";
 import { err, ok, type Result } from "neverthrow";
 import { parse as parseToml } from "smol-toml";
 import * as v from "valibot";
 import { parseAddress } from "../base/node/listen.ts";
 
-/** Why settings can't be used: one line for the operator. */
+/** Reason why settings are invalid, as one line for the operator. */
 export interface SettingsError {
   readonly type: "SettingsError";
   readonly message: string;
@@ -49,7 +49,10 @@
 const PLAINTEXT = v.strictObject({ transport: v.literal("plaintext") });
 const TLS = v.strictObject({
   transport: v.literal("tls"),
-  /** PEM files: what this process presents, its key, whom it trusts. */
+  /**
+   * PEM files: the certificate of this process, its private key, and the
+   * certificate authority that it trusts.
+   */
   certificate: FILE,
   key: FILE,
   authority: FILE,
@@ -61,17 +64,19 @@
   v.strictObject({
     ...TLS.entries,
     /**
-     * Whether callers reach the edge listener by TLS; they present no
+     * Whether callers connect to the edge listener with TLS, without a client
      * certificate. The hops to and from the local backend server (egress and
-     * `backend.address`) stay plain: they are meant for loopback.
+     * `backend.address`) are always plaintext: they are meant for loopback.
      */
     edge_tls: v.optional(v.boolean("true or false"), false),
   }),
 ], TRANSPORTS);
-/** Whose tokens allow changes; where it is left out, anyone may edit. */
+/** File of operator credentials; if absent, edits need no credentials. */
 const OPERATORS = v.optional(v.strictObject({ file: FILE }));
 
-/** Records all events of the process to a file, for `basilpin trace`. */
+/**
+ * File to which all events of the process are recorded, for `basilpin trace`.
+ */
 const TRACE = v.optional(v.strictObject({ file: FILE }));
 
 /** Schema of the node role. */
@@ -88,13 +93,13 @@
     ingress: ADDRESS,
     operator: ADDRESS,
   }),
-  /** Where other nodes reach this one, if not at its listener. */
+  /** Address at which other nodes connect, if it differs from the listener. */
   advertise: v.optional(v.strictObject({ ingress: ADDRESS })),
   backend: v.strictObject({
     address: ADDRESS,
     slots: createCount(100_000),
     connections: createCount(1_000_000),
-    /** The platform's own endpoints of the backend server: hints only. */
+    /** Health and load endpoints of the backend server; used only as hints. */
     health_path: v.optional(PATH),
     load_path: v.optional(PATH),
   }),
@@ -112,30 +117,32 @@
 
 const REPLICA = v.strictObject({ id: NAME, link: ADDRESS });
 const CLUSTER = v.strictObject({
-  /** The first one founds the set; the same list at all replicas. */
+  /**
+   * The first voter bootstraps the cluster; the list is equal at all replicas.
+   */
   voters: v.pipe(
     v.array(REPLICA, "a list of { id, link }"),
     v.check(({ length }) => [1, 3, 5].includes(length), "1, 3 or 5 replicas"),
   ),
-  /** Replicas that serve nodes but don't vote. */
+  /** Replicas that serve nodes without voting. */
   learners: v.optional(v.array(REPLICA, "a list of { id, link }"), []),
 });
 
 const DISCOVERY = v.strictObject({
-  /** Link addresses of replicas to ask for the others. */
+  /** Link addresses of the replicas from which the others are discovered. */
   seeds: v.pipe(
     v.array(ADDRESS, "a list of host:port"),
     v.minLength(1, "at least one host:port"),
   ),
-  /** Whether the seeds found the set; true for empty folders alone. */
+  /** Whether the seeds bootstrap the cluster; true only with empty folders. */
   is_first_start: v.boolean("true or false"),
-  /** Replicas are promoted up to so many voters. */
+  /** Number of voters up to which replicas are promoted. */
   max_voters: createCount(9),
-  /** A voter that is silent for so long gives way to another replica. */
+  /** Silence after which another replica replaces a voter. */
   replace_after_ms: createCount(3_600_000),
-  /** How often a replica proves that its state is current. */
+  /** Interval at which a replica confirms that its state is current. */
   confirm_every_ms: createCount(60_000),
-  /** How long such a proof holds. */
+  /** Validity of such a confirmation. */
   confirm_valid_ms: createCount(60_000),
 });
 
@@ -151,9 +158,9 @@
     v.minLength(1, "a folder"),
   ),
   listen: v.strictObject({ link: ADDRESS, operator: ADDRESS }),
-  /** The replicas of the table; left out where this is the only one. */
+  /** Replicas of the table; absent if this is the only one. */
   cluster: v.optional(CLUSTER),
-  /** In place of `cluster`: replicas that find each other from seeds. */
+  /** Alternative to `cluster`: replicas discover each other from seeds. */
   discovery: v.optional(DISCOVERY),
   security: CONTROL_SECURITY,
   operators: OPERATORS,
@@ -174,7 +181,7 @@
 /** Settings of either role. */
 export type Settings = NodeSettings | ControlSettings;
 
-/** Reads and checks a settings file. */
+/** Reads and validates a settings file. */
 export function readSettings(file: string): Result<Settings, SettingsError> {
   let text: string;
   try {
@@ -185,7 +192,7 @@
   return parseSettings(file, text);
 }
 
-/** Checks the text of a settings file; `file` is for messages. */
+/** Validates the text of a settings file; `file` is used in error messages. */
 export function parseSettings(
   file: string,
   text: string,
@@ -203,7 +210,10 @@
     : err(createError(file, describeIssue(selectIssue(checked.issues))));
 }
 
-/** A misspelt key is both unknown and missing: the unknown one is told. */
+/**
+ * Selects the issue to report: an unknown key before others, as a misspelt key
+ * is both unknown and missing.
+ */
 function selectIssue(
   issues: readonly [v.BaseIssue<unknown>, ...v.BaseIssue<unknown>[]],
 ): v.BaseIssue<unknown> {
@@ -222,10 +232,10 @@
   if (issue.type === "strict_object" && issue.input === undefined) {
     return `${key}: key is missing; see docs/OPERATING.md`;
   }
-  const found = issue.input === undefined
+  const actual = issue.input === undefined
     ? "nothing"
     : JSON.stringify(issue.input);
-  return `${key}: found ${found}; expected ${issue.message}`;
+  return `${key}: found ${actual}; expected ${issue.message}`;
 }
 
 function createError(file: string, message: string): SettingsError {
--- a/src/daemon/settings_reference.ts
+++ b/src/daemon/settings_reference.ts
@@ -1,23 +1,23 @@
-/** The settings reference for operators, made from the schema. */
+/** Settings reference for operators, generated from the schema. */
 import type { GenericSchema } from "valibot";
 import { CONTROL_SETTINGS, NODE_SETTINGS } from "./settings.ts";
 
-/** One key of the settings. */
+/** Reference entry of one settings key. */
 export interface SettingReference {
-  /** Dotted, as errors name it. */
+  /** Dotted path, as in error messages. */
   readonly key: string;
   readonly allowed: string;
   readonly isOptional: boolean;
   readonly note: string;
 }
 
-/** Both roles' keys; a key without a note has an empty one. */
+/** Entries of both roles; the note is empty where `NOTES` has none. */
 export interface SettingsReference {
   readonly node: readonly SettingReference[];
   readonly control: readonly SettingReference[];
 }
 
-/** What each key is for; dotted keys are the same in both roles. */
+/** Purpose of each key, by dotted path; both roles share the notes. */
 const NOTES: Readonly<Record<string, string>> = {
   "role": "Which of the two roles the process takes",
   "id": "Name of the process, unique in the system",
@@ -71,13 +71,13 @@
   readonly wrapped?: GenericSchema;
   readonly pipe?: readonly { readonly message?: unknown }[];
   readonly literal?: unknown;
-  /** What decides which of `options` holds. */
+  /** Name of the discriminator key that selects one of `options`. */
   readonly key?: string;
   readonly options?: readonly GenericSchema[];
   readonly message?: unknown;
 }
 
-/** Lists all keys of both roles in the order of the schema. */
+/** Creates the entries of all keys of both roles, in schema order. */
 export function createSettingsReference(): SettingsReference {
   return {
     node: listKeys(NODE_SETTINGS, "", false),
@@ -110,7 +110,10 @@
   return [{ key, allowed: describeAllowed(node), isOptional, note }];
 }
 
-/** Keys that only some options have are needed with those alone. */
+/**
+ * Lists the keys of a variant: the discriminator, then the keys of its options
+ * as optional ones, since each is required only with its own option.
+ */
 function listOptions(
   { key: tag = "", options = [], message }: SchemaNode,
   key: string,
@@ -118,7 +121,7 @@
 ): readonly SettingReference[] {
   const tagKey = `${key}.${tag}`;
   const keys = options.flatMap((option) => listKeys(option, key, true))
-    .filter((found) => found.key !== tagKey);
+    .filter((reference) => reference.key !== tagKey);
   const note = NOTES[tagKey] ?? "";
   return [
     { key: tagKey, allowed: String(message), isOptional, note },
@@ -126,7 +129,9 @@
   ];
 }
 
-/** The last check of a schema says it best. */
+/**
+ * Describes the allowed values by the last check, which is the most specific.
+ */
 function describeAllowed(node: SchemaNode): string {
   if (node.literal !== undefined) {
     return JSON.stringify(node.literal);
