--- a/src/daemon/control_daemon.ts
+++ b/src/daemon/control_daemon.ts
@@ -148,13 +148,13 @@
   }
 
   /** Adds control replicas that the reloaded settings name as seeds. */
-  learnSeeds(seeds: readonly string[]): void {
+  addSeeds(seeds: readonly string[]): void {
     this.#telemetry.log.info({ seeds: [...seeds] }, "SettingsRead");
     this.#loop.dispatch({ type: "SeedsLearned", seeds });
   }
 
   /** Logs that changed settings are invalid; the previous ones stay in use. */
-  reportSettings(reason: string): void {
+  reportInvalidSettings(reason: string): void {
     this.#telemetry.log.warn({ reason }, "SettingsInvalid");
   }
 
--- a/src/daemon/relay_control.ts
+++ b/src/daemon/relay_control.ts
@@ -97,7 +97,7 @@
   }
 
   /** Adds control replicas that the reloaded settings name. */
-  learnSeeds(seeds: readonly string[]): void {
+  addSeeds(seeds: readonly string[]): void {
     this.#link.addReplicas(seeds);
   }
 
--- a/src/daemon/relay_daemon.ts
+++ b/src/daemon/relay_daemon.ts
@@ -235,20 +235,20 @@
   }
 
   /** Adds control replicas that the reloaded settings name. */
-  learnSeeds(seeds: readonly string[]): void {
+  addSeeds(seeds: readonly string[]): void {
     this.#log.write({ event: "SettingsRead", isFailure: false, seeds });
-    this.#control.learnSeeds(seeds);
+    this.#control.addSeeds(seeds);
   }
 
   /** Logs that changed settings are invalid; the previous ones stay in use. */
-  reportSettings(reason: string): void {
+  reportInvalidSettings(reason: string): void {
     this.#log.write({ event: "SettingsInvalid", isFailure: true, reason });
   }
 
   /**
    * Logs a refused announcement of a backend server; the previous one holds.
    */
-  reportAnnouncement(instanceId: string, reason: string): void {
+  reportRefusedAnnouncement(instanceId: string, reason: string): void {
     const event = "AnnouncementRefused";
     this.#log.write({ event, isFailure: true, instanceId, reason });
   }
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -23,7 +23,7 @@
   v.check((text) => parseAddress(text) !== undefined, "host:port"),
 );
 
-function createCount(max: number) {
+function createCountSchema(max: number) {
   const allowed = `a whole number from 1 to ${max}`;
   return v.pipe(
     v.number(allowed),
@@ -97,8 +97,8 @@
   advertise: v.optional(v.strictObject({ ingress: ADDRESS })),
   backend: v.strictObject({
     address: ADDRESS,
-    slots: createCount(100_000),
-    connections: createCount(1_000_000),
+    slots: createCountSchema(100_000),
+    connections: createCountSchema(1_000_000),
     /** Health and load endpoints of the backend server; used only as hints. */
     health_path: v.optional(PATH),
     load_path: v.optional(PATH),
@@ -137,13 +137,13 @@
   /** Whether the seeds bootstrap the cluster; true only with empty folders. */
   is_first_start: v.boolean("true or false"),
   /** Number of voters up to which replicas are promoted. */
-  max_voters: createCount(9),
+  max_voters: createCountSchema(9),
   /** Silence after which another replica replaces a voter. */
-  replace_after_ms: createCount(3_600_000),
+  replace_after_ms: createCountSchema(3_600_000),
   /** Interval at which a replica confirms that its state is current. */
-  confirm_every_ms: createCount(60_000),
+  confirm_every_ms: createCountSchema(60_000),
   /** Validity of such a confirmation. */
-  confirm_valid_ms: createCount(60_000),
+  confirm_valid_ms: createCountSchema(60_000),
 });
 
 /** Schema of the control role. */
