--- a/src/daemon/test/accept_queue_test.ts
+++ b/src/daemon/test/accept_queue_test.ts
@@ -1,7 +1,8 @@
 /**
- * Callers left while their connections waited to be accepted, and their calls
- * were run once they were: the runtime accepts one connection in each turn of
- * its loop, and reads a request a turn before the close behind it.
+ * Guards against running calls of callers that have left while their
+ * connections waited to be accepted. The runtime accepts one connection per
+ * turn of its event loop, and reads a request one turn before the close that
+ * follows it.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "chai";
@@ -14,12 +15,12 @@
 import { openCustodyPair } from "./custody_pair.ts";
 import type { CustodyPair } from "./custody_pair.ts";
 
-const CALLERS = 300;
-const SLOW = { stoppedMs: 60, runsMs: 8 };
-/** Work must not begin that long after its caller has left. */
-const GONE_MS = 500;
-/** How long a run that should not be is waited for. */
-const SETTLE_MS = 3_000;
+const CALLER_COUNT = 300;
+const SLOWDOWN = { stoppedMs: 60, runsMs: 8 };
+/** No run may start later than this after its caller has left. */
+const MAX_RUN_DELAY_MS = 500;
+/** Time after the burst during which late runs are counted. */
+const OBSERVATION_MS = 3_000;
 
 describe("callers that leave before a node accepts their connections", () => {
   let pair: CustodyPair;
@@ -30,11 +31,11 @@
 
   after(() => pair.fleet[Symbol.asyncDispose]());
 
-  /** Connects all at once; resolves when the last caller has left. */
+  /** Opens all connections at once; resolves when the last caller has left. */
   async function sendBurst(): Promise<void> {
     const { entry } = pair;
     const calls = Array.from(
-      { length: CALLERS },
+      { length: CALLER_COUNT },
       (_, index) =>
         callOnce(entry.edge, {
           requestId: `r${index}`,
@@ -48,11 +49,11 @@
   it("have nothing run later than half a second after", async () => {
     const { entry, served } = pair;
     let lateRuns = 0;
-    await slowDuring(entry.child, SLOW, async () => {
+    await slowDuring(entry.child, SLOWDOWN, async () => {
       await sendBurst();
-      await sleep(GONE_MS);
+      await sleep(MAX_RUN_DELAY_MS);
       const due = await readRuns(served.backendAddress);
-      await sleep(SETTLE_MS);
+      await sleep(OBSERVATION_MS);
       const last = await readRuns(served.backendAddress);
       lateRuns = last.started - due.started;
     });
--- a/src/daemon/test/at_most_once_test.ts
+++ b/src/daemon/test/at_most_once_test.ts
@@ -1,12 +1,12 @@
-/** At most once in separate processes: resends, duplicates and deaths. */
+/** At-most-once execution across processes: resends, duplicates and crashes. */
 import { expect } from "chai";
 import { request } from "undici";
 import { encodeMessage } from "../../base/node/message_codec.ts";
 import { PEER_PATH } from "../../engine/peer/common/peer_messages.ts";
 import { RESEND_FLOOR } from "../../engine/retry/common/resend_budget.ts";
-import { KeyedService, SITES, waitFor } from "./keyed_service.ts";
+import { DATA_CENTRES, KeyedService, waitFor } from "./keyed_service.ts";
 
-const LONG_MS = 120_000;
+const TEST_TIMEOUT_MS = 120_000;
 
 describe("at most once", () => {
   let service: KeyedService;
@@ -82,7 +82,7 @@
     }
   });
 
-  it("lives on after a message of a type that it doesn't know", async () => {
+  it("keeps serving after a message of an unknown type", async () => {
     const answer = await request(
       `http://${service.nodes[0]!.ingress}${PEER_PATH}`,
       { method: "POST", body: encodeMessage({ type: "Unheard" }) },
@@ -103,7 +103,7 @@
         again.body["backend"] === first.body["backend"];
     });
     expect(await service.countRuns("k-3")).to.equal(1);
-    await service.startNode("custody-after-k-3", SITES[0]!);
+    await service.startNode("custody-after-k-3", DATA_CENTRES[0]!);
   });
 
   it("never runs a key again that ran at a node that died", async () => {
@@ -126,20 +126,20 @@
         String(again.body["message"]).includes("outcome is unknown");
     });
     expect(await service.countRuns("k-4")).to.equal(1);
-    await service.startNode("custody-after-k-4", SITES[1]!);
+    await service.startNode("custody-after-k-4", DATA_CENTRES[1]!);
   });
 
   it("keeps a run going whose caller left, for the resend", async () => {
-    const gave = new AbortController();
-    const left = request(`http://${service.nodes[0]!.edge}/transfers`, {
+    const callerAbort = new AbortController();
+    const abandoned = request(`http://${service.nodes[0]!.edge}/transfers`, {
       method: "POST",
       headers: { "idempotency-key": "k-5", "x-standin-ms": "600" },
       body: JSON.stringify({ bale: 7 }),
-      signal: gave.signal,
+      signal: callerAbort.signal,
     }).catch(() => undefined);
     await waitFor(async () => await service.countRuns("k-5") === 1);
-    gave.abort();
-    await left;
+    callerAbort.abort();
+    await abandoned;
     await waitFor(async () =>
       (await service.transfer(service.nodes[1]!, "k-5")).status === 200
     );
@@ -148,9 +148,9 @@
 
   it("remembers over a change of all holders, one after the other", async () => {
     const first = await service.transfer(service.nodes[0]!, "k-6");
-    for (let i = 0; i < SITES.length; i++) {
+    for (let i = 0; i < DATA_CENTRES.length; i++) {
       const oldest = service.nodes[0];
-      await service.startNode(`custody-new-${i}`, SITES[i]!);
+      await service.startNode(`custody-new-${i}`, DATA_CENTRES[i]!);
       await service.removeNode(oldest!, "k-6");
       await service.fleet.stop(oldest!);
       await service.waitClaims();
@@ -158,5 +158,5 @@
     expect((await service.transfer(service.nodes[3]!, "k-6")).body).to.deep
       .equal(first.body);
     expect(await service.countRuns("k-6")).to.equal(1);
-  }).timeout(LONG_MS);
+  }).timeout(TEST_TIMEOUT_MS);
 });
--- a/src/daemon/test/caller_left_test.ts
+++ b/src/daemon/test/caller_left_test.ts
@@ -1,9 +1,9 @@
 /**
- * Callers left while a node was stopped, and their calls were run once it went
- * on. The node reads a request a turn of its event loop before the close behind
- * it, and decided on the call at once. What settled it: of 8 callers that closed
- * after 130 ms while their entry, or the backend server's node, was stopped for
- * 600 ms, 8 calls were run each time.
+ * Guards against running calls of callers that have left while a node was
+ * stopped. A resumed node reads a request one turn of its event loop before the
+ * close that follows it. Deciding on the call in that turn runs it: with the
+ * entry or the node of the backend server stopped for 600 ms, all 8 calls of
+ * callers that closed after 130 ms were run.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "chai";
@@ -17,9 +17,9 @@
 import { openCustodyPair } from "./custody_pair.ts";
 import type { CustodyPair } from "./custody_pair.ts";
 
-const CALLERS = 8;
-/** How long a run that should not be is waited for. */
-const SETTLE_MS = 500;
+const CALLER_COUNT = 8;
+/** Time after the node resumes during which runs are counted. */
+const OBSERVATION_MS = 500;
 
 function formatRequest(index: number): string {
   return `GET /bales/${index} HTTP/1.1\r\nHost: a.example\r\n\r\n`;
@@ -34,16 +34,16 @@
 
   after(() => pair.fleet[Symbol.asyncDispose]());
 
-  /** Counts what is run for callers that leave while a node is stopped. */
+  /** Counts the runs for callers that leave while a node is stopped. */
   async function countRuns(stopped: FleetNode): Promise<number> {
     const { entry, served } = pair;
     const before = await readRuns(served.backendAddress);
-    const sockets = await openConnections(entry.edge, CALLERS);
+    const sockets = await openConnections(entry.edge, CALLER_COUNT);
     await stopDuring(
       stopped.child,
       () => leaveSoon(sockets, formatRequest),
     );
-    await sleep(SETTLE_MS);
+    await sleep(OBSERVATION_MS);
     const after = await readRuns(served.backendAddress);
     return after.started - before.started;
   }
--- a/src/daemon/test/cancellation_test.ts
+++ b/src/daemon/test/cancellation_test.ts
@@ -1,4 +1,4 @@
-/** A caller that hangs up frees the slots of a chain of three services. */
+/** A caller that disconnects frees the slots of a chain of three services. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "chai";
 import { request } from "undici";
@@ -7,9 +7,9 @@
 import type { RunReport } from "../../../standin/backend.ts";
 
 const TABLE = "examples/coton-loukkos/table.csv";
-const CALLS = 10;
-/** Slow enough to be running whenever the test looks. */
-const SLOW = { serviceMs: 20_000 };
+const CALL_COUNT = 10;
+/** Slow enough to be still running at each check of the test. */
+const SLOW_BEHAVIOUR = { serviceMs: 20_000 };
 
 describe("cancellation through a chain of three services", () => {
   let fleet: Fleet;
@@ -38,7 +38,7 @@
         id: "warehouse-1",
         service: "warehouse",
         dataCentre,
-        behaviour: SLOW,
+        behaviour: SLOW_BEHAVIOUR,
       }),
     ];
     const applied = await fleet.run("table", "apply", TABLE, "--wait");
@@ -77,24 +77,24 @@
   }
 
   it("leaves nothing running, though two backend servers ignore it", async () => {
-    const leave = new AbortController();
+    const callerAbort = new AbortController();
     const calls = Array.from(
-      { length: CALLS },
+      { length: CALL_COUNT },
       (_, i) =>
         request(`http://${chain[1]!.edge}/transfers`, {
           method: "POST",
           headers: { "idempotency-key": `k-${i}` },
           body: "{}",
-          signal: leave.signal,
+          signal: callerAbort.signal,
         }).catch(() => undefined),
     );
-    await waitRuns(({ running }) => running === CALLS);
-    leave.abort();
+    await waitRuns(({ running }) => running === CALL_COUNT);
+    callerAbort.abort();
     await Promise.all(calls);
     const after = await waitRuns(({ running }) => running === 0);
-    expect(after[2]!.cancelled).to.equal(CALLS);
+    expect(after[2]!.cancelled).to.equal(CALL_COUNT);
     for (const report of after) {
-      expect(report.started).to.equal(CALLS);
+      expect(report.started).to.equal(CALL_COUNT);
     }
     await checkIdle();
   });
@@ -116,8 +116,8 @@
     });
     await answer.body.dump();
     expect(answer.statusCode).to.equal(504);
-    // Whether the first backend server's own 504 still makes it in time is a
-    // race of deadlines; that the transfer was "not run" would be a lie.
+    // Two deadlines race here: the first backend server's own 504 may arrive in
+    // time or not. Only "not-run" would be false, as the transfer did start.
     expect(answer.headers["basilpin-outcome"]).to.be.oneOf(["ran", "unknown"]);
     const after = await waitRuns(({ running }) => running === 0);
     after.forEach((report, i) => {
--- a/src/daemon/test/clock_carriers_test.ts
+++ b/src/daemon/test/clock_carriers_test.ts
@@ -1,4 +1,4 @@
-/** The clock rides on calls, answers, peer messages and links. */
+/** The process clock is carried by calls, answers, peer messages and links. */
 import { expect } from "chai";
 import { request } from "undici";
 import { parseAddress } from "../../base/node/listen.ts";
@@ -30,7 +30,7 @@
   retryTokens: 0,
 };
 
-/** A clock that stands at a time until it observes a later one. */
+/** Creates a clock that stays at a time until it observes a later one. */
 function createClock(at: HybridTime): ProcessClock {
   const timeline = new Timeline({ process: "p", dataCentre: "hall-a" });
   timeline.observeClock(at, NOW_MS);
@@ -45,16 +45,16 @@
   };
 }
 
-interface Listening {
+interface OpenedCallServer {
   readonly calls: CallServer;
   readonly edge: string;
   readonly ingress: string;
 }
 
-async function openCalls(
+async function openCallServer(
   clock: ProcessClock,
   receive: (event: NodeEvent, calls: CallServer) => void,
-): Promise<Listening> {
+): Promise<OpenedCallServer> {
   const [edge, egress, ingress] = await Promise.all([
     findAddress(),
     findAddress(),
@@ -78,8 +78,8 @@
 }
 
 /** Answers calls and peer messages as a node would. */
-function openServing(clock: ProcessClock): Promise<Listening> {
-  return openCalls(clock, (event, calls) => {
+function openServing(clock: ProcessClock): Promise<OpenedCallServer> {
+  return openCallServer(clock, (event, calls) => {
     if (event.type === "CallReceived") {
       const { exchangeId } = event;
       calls.perform({
@@ -97,9 +97,12 @@
   });
 }
 
-/** Passes each call on to another node. */
-function openEntry(clock: ProcessClock, address: string): Promise<Listening> {
-  return openCalls(clock, (event, calls) => {
+/** Forwards each call to another node. */
+function openEntry(
+  clock: ProcessClock,
+  address: string,
+): Promise<OpenedCallServer> {
+  return openCallServer(clock, (event, calls) => {
     if (event.type === "CallReceived") {
       const { exchangeId } = event;
       calls.perform({
--- a/src/daemon/test/cluster_faults_test.ts
+++ b/src/daemon/test/cluster_faults_test.ts
@@ -1,4 +1,4 @@
-/** Three control replicas in separate processes that are killed and wiped. */
+/** Faults of three control replicas: kills, freezes, lost and damaged data. */
 import { readdirSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -9,8 +9,8 @@
 import { Fleet, waitReady } from "../../../standin/fleet.ts";
 import type { FleetControl } from "../../../standin/fleet.ts";
 
-const WAIT_MS = 25_000;
-const POLL_MS = 50;
+const WAIT_LIMIT_MS = 25_000;
+const POLL_INTERVAL_MS = 50;
 const CELLS = {
   kind: "lookup",
   service: "catalog",
@@ -55,13 +55,13 @@
   };
 }
 
-/** Sends an edit, under the same id, to one replica after the other. */
-async function insistEdit(
+/** Resends an edit with the same id to each replica until one accepts it. */
+async function resendUntilAccepted(
   controls: readonly FleetControl[],
   version: number,
 ): Promise<void> {
   const edit = { editId: `edit-${version}`, from: version - 1, to: version };
-  const endMs = Date.now() + WAIT_MS;
+  const endMs = Date.now() + WAIT_LIMIT_MS;
   while (Date.now() < endMs) {
     for (const control of controls) {
       const answer = await sendEdit(control, edit).catch(() => undefined);
@@ -70,7 +70,7 @@
         return;
       }
     }
-    await sleep(POLL_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
   throw new Error(`Edit ${version} was not accepted in time`);
 }
@@ -82,15 +82,15 @@
 
 async function waitStatus(
   control: FleetControl,
-  isWanted: (status: Status) => boolean,
+  isMet: (status: Status) => boolean,
 ): Promise<Status> {
-  const endMs = Date.now() + WAIT_MS;
+  const endMs = Date.now() + WAIT_LIMIT_MS;
   let status = await readStatus(control);
-  while (!isWanted(status) && Date.now() < endMs) {
-    await sleep(POLL_MS);
+  while (!isMet(status) && Date.now() < endMs) {
+    await sleep(POLL_INTERVAL_MS);
     status = await readStatus(control);
   }
-  expect(isWanted(status), JSON.stringify(status.cluster)).to.equal(true);
+  expect(isMet(status), JSON.stringify(status.cluster)).to.equal(true);
   return status;
 }
 
@@ -120,16 +120,16 @@
 
   it("keep each accepted edit when the leader is killed", async () => {
     for (let version = 1; version <= 10; version++) {
-      await insistEdit(controls, version);
+      await resendUntilAccepted(controls, version);
     }
     const leader = await findLeader();
     const others = controls.filter((control) => control !== leader);
-    const racing = insistEdit(others, 11);
+    const racing = resendUntilAccepted(others, 11);
     await fleet.stop(leader, "SIGKILL");
     await racing;
-    await insistEdit(others, 12);
+    await resendUntilAccepted(others, 12);
     for (const version of [3, 11]) {
-      await insistEdit(others, version);
+      await resendUntilAccepted(others, version);
     }
     const left = await waitStatus(others[0]!, (s) => s.tableVersion === 12);
     expect(left.cluster.leader).not.to.equal(leader.id);
@@ -142,7 +142,7 @@
 
   it("come back with the table when all are killed after 300 edits", async () => {
     for (let version = 1; version <= 300; version++) {
-      await insistEdit(controls, version);
+      await resendUntilAccepted(controls, version);
     }
     await Promise.all(controls.map((c) => fleet.stop(c, "SIGKILL")));
     await Promise.all(controls.map((c) => fleet.restartControl(c)));
@@ -150,12 +150,12 @@
     for (const control of controls) {
       expect((await readStatus(control)).tableVersion).to.equal(300);
     }
-    await insistEdit(controls, 7);
-    await insistEdit(controls, 301);
+    await resendUntilAccepted(controls, 7);
+    await resendUntilAccepted(controls, 301);
   });
 
   it("accept exactly one of two edits made from one version", async () => {
-    await insistEdit(controls, 1);
+    await resendUntilAccepted(controls, 1);
     const answers = await Promise.all(
       controls.slice(0, 2).map((control, at) =>
         sendEdit(control, { editId: control.id, from: 1, to: 50 + at })
@@ -166,18 +166,20 @@
   });
 
   it("are not misled by a leader that was frozen and wakes up", async () => {
-    await insistEdit(controls, 1);
+    await resendUntilAccepted(controls, 1);
     const leader = await findLeader();
     const others = controls.filter((control) => control !== leader);
     leader.child.kill("SIGSTOP");
-    await insistEdit(others, 2);
+    await resendUntilAccepted(others, 2);
     await waitStatus(
       others[0]!,
       ({ cluster }) => findMember({ cluster }, leader.id).isSilent,
     );
     leader.child.kill("SIGCONT");
-    const woken = await readStatus(leader);
-    expect(woken.isTableConfirmed && woken.tableVersion < 2).to.equal(false);
+    const resumed = await readStatus(leader);
+    expect(resumed.isTableConfirmed && resumed.tableVersion < 2).to.equal(
+      false,
+    );
     const table = await request(`http://${leader.operator}/table`);
     const { version } = await table.body.json() as { version: number };
     expect([table.statusCode, version]).to.deep.equal([200, 2]);
@@ -186,7 +188,7 @@
 
   it("repair a wiped replica, and then lose another", async () => {
     for (let version = 1; version <= 20; version++) {
-      await insistEdit(controls, version);
+      await resendUntilAccepted(controls, version);
     }
     const leader = await findLeader();
     const wiped = controls.find((control) => control !== leader)!;
@@ -194,19 +196,19 @@
     const before = findMember(await readStatus(leader), wiped.id).replicaId;
     await fleet.stop(wiped, "SIGKILL");
     rmSync(join(fleet.folder, wiped.id), { recursive: true });
-    await insistEdit([leader], 21);
+    await resendUntilAccepted([leader], 21);
     await fleet.restartControl(wiped);
     await waitStatus(wiped, (status) => {
       const { role, replicaId } = findMember(status, wiped.id);
       return role === "follower" && replicaId !== before;
     });
     await fleet.stop(leader, "SIGKILL");
-    await insistEdit([wiped, third], 22);
+    await resendUntilAccepted([wiped, third], 22);
     await waitStatus(wiped, (status) => status.tableVersion === 22);
   });
 
   it("refuse rather than forget when two are lost", async () => {
-    await insistEdit(controls, 1);
+    await resendUntilAccepted(controls, 1);
     const [first, second, third] = controls as [
       FleetControl,
       FleetControl,
@@ -232,8 +234,8 @@
   });
 
   it("stop with a clear message on a damaged disk", async () => {
-    await insistEdit(controls, 1);
-    await insistEdit(controls, 2);
+    await resendUntilAccepted(controls, 1);
+    await resendUntilAccepted(controls, 2);
     const [first] = controls as [FleetControl];
     await fleet.stop(first, "SIGKILL");
     const folder = join(fleet.folder, first.id);
--- a/src/daemon/test/control_loss_test.ts
+++ b/src/daemon/test/control_loss_test.ts
@@ -1,4 +1,4 @@
-/** Control replicas are killed: nodes move, and calls go on. */
+/** Loss of control replicas: nodes reconnect, and calls continue. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "chai";
 import { request } from "undici";
@@ -8,8 +8,8 @@
 import type { FleetControl, FleetNode } from "../../../standin/fleet.ts";
 
 const TABLE = "examples/coton-loukkos/table.csv";
-const WAIT_MS = 30_000;
-const POLL_MS = 50;
+const WAIT_LIMIT_MS = 30_000;
+const POLL_INTERVAL_MS = 50;
 
 async function readStatus<T>(operator: string): Promise<T> {
   const { body } = await request(`http://${operator}/status`);
@@ -17,7 +17,7 @@
 }
 
 describe("loss of control replicas", function () {
-  this.timeout(2 * WAIT_MS);
+  this.timeout(2 * WAIT_LIMIT_MS);
   let fleet: Fleet;
   let controls: readonly FleetControl[];
   let nodes: readonly FleetNode[];
@@ -50,9 +50,9 @@
     return fleet.startNode({ id, service, dataCentre: "kenitra-a" });
   }
 
-  /** Calls through the other node until `isDone`, and notes what failed. */
+  /** Calls through the second node until `isDone`, and records failed calls. */
   async function callUntil(isDone: () => Promise<boolean>): Promise<void> {
-    const endMs = Date.now() + WAIT_MS;
+    const endMs = Date.now() + WAIT_LIMIT_MS;
     while (!(await isDone())) {
       expect(Date.now(), "did not happen in time").to.be.lessThan(endMs);
       const answer = await request(`http://${nodes[1]!.edge}/bales/42`);
@@ -61,17 +61,17 @@
       if (answer.statusCode !== 200) {
         failures.push(`call ${callCount}: ${answer.statusCode}`);
       }
-      await sleep(POLL_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
   }
 
-  async function isHeardBy(control: FleetControl): Promise<boolean> {
+  async function isLinkedTo(control: FleetControl): Promise<boolean> {
     const { nodes: reports } = await readStatus<StatusAnswer>(control.operator);
     return reports.length === 2 &&
       reports.every((report) => report.heardBy === control.id);
   }
 
-  it("shows the nodes at every replica, with who hears them", async () => {
+  it("shows the nodes at every replica, with the replica linked to each", async () => {
     await callUntil(async () => {
       const reports = await Promise.all(
         controls.map(({ operator }) => readStatus<StatusAnswer>(operator)),
@@ -89,7 +89,7 @@
   it("moves a killed replica's nodes without a call failing", async () => {
     const [a, b, c] = controls;
     await fleet.stop(a!, "SIGKILL");
-    await callUntil(() => isHeardBy(b!));
+    await callUntil(() => isLinkedTo(b!));
     await callUntil(async () => {
       const { replicas } = await readStatus<StatusAnswer>(c!.operator);
       const lost = replicas.find((replica) => replica.id === "control-a")!;
@@ -103,7 +103,7 @@
     expect(failures).to.deep.equal([]);
   });
 
-  it("drains through a replica that doesn't hear the node", async () => {
+  it("drains through a replica that is not linked to the node", async () => {
     const extra = await startNode("provenance-2", "provenance");
     const c = controls[2]!;
     const { statusCode, body } = await request(
@@ -126,13 +126,13 @@
     await Promise.all(
       controls.slice(1).map((control) => fleet.stop(control, "SIGKILL")),
     );
-    const goneAtMs = Date.now();
+    const stoppedAtMs = Date.now();
     await callUntil(async () => {
       const status = await readStatus<{ controlReplica: string | null }>(
         nodes[1]!.operator,
       );
       return status.controlReplica === null &&
-        Date.now() - goneAtMs > LEASE_MS + 1_000;
+        Date.now() - stoppedAtMs > LEASE_MS + 1_000;
     });
     expect(failures).to.deep.equal([]);
   });
--- a/src/daemon/test/custody_pair.ts
+++ b/src/daemon/test/custody_pair.ts
@@ -1,9 +1,13 @@
-/** Two nodes whose callers come to the one and are served by the other. */
+/**
+ * Two nodes: callers connect to one, the backend server of the other serves.
+ */
 import { expect } from "chai";
 import { Fleet } from "../../../standin/fleet.ts";
 import type { FleetNode } from "../../../standin/fleet.ts";
 
-/** A fleet with an entry, and the node of the backend server behind it. */
+/**
+ * A fleet with an entry node and the node of the backend server that serves.
+ */
 export interface CustodyPair {
   readonly fleet: Fleet;
   readonly entry: FleetNode;
@@ -13,7 +17,7 @@
 const TABLE = "examples/coton-loukkos/table.csv";
 const DATA_CENTRE = "kenitra-a";
 
-/** Starts both, and waits until a request is served. */
+/** Starts both nodes and checks that a request is served. */
 export async function openCustodyPair(): Promise<CustodyPair> {
   const fleet = new Fleet();
   await fleet.startControl("control-a", DATA_CENTRE);
--- a/src/daemon/test/drain_test.ts
+++ b/src/daemon/test/drain_test.ts
@@ -1,4 +1,4 @@
-/** Drain in separate processes, under steady load and without control. */
+/** Drain across processes, under steady load and without control. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "chai";
 import { Agent, request } from "undici";
@@ -6,12 +6,12 @@
 import type { FleetControl, FleetNode } from "../../../standin/fleet.ts";
 
 const TABLE = "examples/coton-loukkos/table.csv";
-const WORKERS = 3;
-const SERVICE_MS = "40";
-/** Within this, the last caller has heard of a drain. */
-const SPREAD_MS = 2_000;
+const WORKERS_PER_EDGE = 3;
+const SERVICE_TIME_MS = "40";
+/** Time within which each caller has been notified of a drain. */
+const DRAIN_NOTICE_MS = 2_000;
 
-/** Callers that keep calling through some nodes until they are stopped. */
+/** Callers that call continuously through some nodes until stopped. */
 class SteadyLoad implements AsyncDisposable {
   readonly statuses: string[] = [];
   readonly #agent = new Agent({ connections: 32 });
@@ -20,7 +20,7 @@
 
   constructor(edges: readonly string[]) {
     for (const edge of edges) {
-      for (let i = 0; i < WORKERS; i++) {
+      for (let i = 0; i < WORKERS_PER_EDGE; i++) {
         this.#workers.push(this.#call(edge, "GET", `/bales/${i}`));
       }
       this.#workers.push(this.#call(edge, "POST", "/notes"));
@@ -40,16 +40,16 @@
 
   async #call(edge: string, method: "GET" | "POST", path: string) {
     while (!this.#isStopped) {
-      this.statuses.push(await this.#ask(edge, method, path));
+      this.statuses.push(await this.#sendRequest(edge, method, path));
     }
   }
 
-  async #ask(edge: string, method: "GET" | "POST", path: string) {
+  async #sendRequest(edge: string, method: "GET" | "POST", path: string) {
     try {
       const answer = await request(`http://${edge}${path}`, {
         dispatcher: this.#agent,
         method,
-        headers: { "x-standin-ms": SERVICE_MS },
+        headers: { "x-standin-ms": SERVICE_TIME_MS },
         body: method === "POST" ? "note" : null,
       });
       const text = await answer.body.text();
@@ -100,7 +100,9 @@
     await fleet[Symbol.asyncDispose]();
   });
 
-  /** Ends a node under load; what it started later than the spread counts. */
+  /**
+   * Stops a node under load; checks that no run starts after the notice period.
+   */
   async function drainUnderLoad(node: FleetNode): Promise<void> {
     await using load = new SteadyLoad(callers.map((caller) => caller.edge));
     await waitRuns(node, 5);
@@ -108,9 +110,11 @@
     await waitRuns(node, 10);
     const stopped = fleet.stop(node);
     await sleep(300);
-    expect(await ask(node.edge, "/bales/own"), "own edge").to.equal(200);
-    await sleep(SPREAD_MS);
-    const spread = await readRuns(node.backendAddress);
+    expect(await sendRequest(node.edge, "/bales/own"), "own edge").to.equal(
+      200,
+    );
+    await sleep(DRAIN_NOTICE_MS);
+    const afterNotice = await readRuns(node.backendAddress);
     const before = load.statuses.length;
     expect(await stopped).to.equal(0);
     while (load.statuses.length < before + 50) {
@@ -120,7 +124,7 @@
     const statuses = await load.stop();
     expect([...statuses]).to.deep.equal(["whole"]);
     expect(new Set(await Promise.all(slow))).to.deep.equal(new Set([200]));
-    expect(last.started).to.equal(spread.started);
+    expect(last.started).to.equal(afterNotice.started);
     expect(last.finished).to.equal(last.started);
   }
 
@@ -129,13 +133,13 @@
   });
 
   it("is learnt from answers by callers whose control is frozen", async () => {
-    expect(await ask(backends[1]!.edge, "/bales/own")).to.equal(200);
+    expect(await sendRequest(backends[1]!.edge, "/bales/own")).to.equal(200);
     control.child.kill("SIGSTOP");
     await drainUnderLoad(backends[1]!);
     control.child.kill("SIGCONT");
   });
 
-  it("says not run, and when to return, after the last one", async () => {
+  it("answers not-run with retry-after when the last node drains", async () => {
     const [edge] = callers.map((caller) => caller.edge);
     const drained = await request(`http://${backends[2]!.operator}/drain`, {
       method: "POST",
@@ -158,14 +162,21 @@
   });
 });
 
-/** Calls that outlast the spread of a drain. */
+/** Starts calls that take longer than the notice period of a drain. */
 function startSlow(edge: string): readonly Promise<number>[] {
-  return Array.from({ length: 6 }, (_, i) => ask(edge, `/bales/s${i}`, 1_700));
+  return Array.from(
+    { length: 6 },
+    (_, i) => sendRequest(edge, `/bales/s${i}`, 1_700),
+  );
 }
 
-async function ask(edge: string, path: string, takesMs = 5): Promise<number> {
+async function sendRequest(
+  edge: string,
+  path: string,
+  serviceMs = 5,
+): Promise<number> {
   const answer = await request(`http://${edge}${path}`, {
-    headers: { "x-standin-ms": String(takesMs) },
+    headers: { "x-standin-ms": String(serviceMs) },
   });
   await answer.body.dump();
   return answer.statusCode;
--- a/src/daemon/test/keyed_service.ts
+++ b/src/daemon/test/keyed_service.ts
@@ -1,4 +1,4 @@
-/** A service with keyed requests in separate processes, and its control. */
+/** A service with keyed requests and its control replicas, as processes. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "chai";
 import { request } from "undici";
@@ -8,12 +8,17 @@
 import type { FleetControl, FleetNode } from "../../../standin/fleet.ts";
 
 const TABLE = "examples/coton-loukkos/table.csv";
-const PATIENCE_MS = 25_000;
+const WAIT_LIMIT_MS = 25_000;
 
 /** Data centres of the nodes. */
-export const SITES = ["kenitra-a", "kenitra-b", "larache-a", "larache-b"];
-
-/** What a keyed request brought. */
+export const DATA_CENTRES = [
+  "kenitra-a",
+  "kenitra-b",
+  "larache-a",
+  "larache-b",
+];
+
+/** Answer to a keyed request. */
 export interface Answer {
   readonly status: number;
   readonly outcome: string;
@@ -30,19 +35,21 @@
   readonly fleet = new Fleet();
   nodes: readonly FleetNode[] = [];
   controls: readonly FleetControl[] = [];
-  /** Runs by key at backend servers that have been stopped since. */
-  readonly #gone = new Map<string, number>();
-  #probes = 0;
+  /** Runs by key at backend servers that were removed. */
+  readonly #removedRuns = new Map<string, number>();
+  #probeCount = 0;
 
-  /** Starts all; resolves once keys are served. */
+  /** Starts all processes; resolves when keys are served. */
   async open(): Promise<void> {
     this.controls = await this.fleet.startControls([
-      ["control-a", SITES[0]!],
-      ["control-b", SITES[1]!],
-      ["control-c", SITES[2]!],
+      ["control-a", DATA_CENTRES[0]!],
+      ["control-b", DATA_CENTRES[1]!],
+      ["control-c", DATA_CENTRES[2]!],
     ]);
     this.nodes = await Promise.all(
-      SITES.map((dataCentre, i) => this.#open(`custody-${i}`, dataCentre)),
+      DATA_CENTRES.map((dataCentre, i) =>
+        this.#open(`custody-${i}`, dataCentre)
+      ),
     );
     const applied = await this.fleet.run("table", "apply", TABLE, "--wait");
     expect(applied.exitCode, applied.stderr).to.equal(0);
@@ -62,7 +69,7 @@
     await waitFor(async () => {
       const answers = await Promise.all(
         this.nodes.map((node) =>
-          this.transfer(node, `probe-${this.#probes++}`)
+          this.transfer(node, `probe-${this.#probeCount++}`)
         ),
       );
       return answers.every((answer) => answer.status === 200);
@@ -99,27 +106,27 @@
     };
   }
 
-  /** Counts the runs of a key at all backend servers there ever were. */
+  /** Counts the runs of a key at all current and removed backend servers. */
   async countRuns(key: string): Promise<number> {
     const reports = await Promise.all(
       this.nodes.map((node) => readRuns(node.backendAddress)),
     );
     return reports.reduce(
       (sum, report) => sum + (report.byKey[key] ?? 0),
-      this.#gone.get(key) ?? 0,
+      this.#removedRuns.get(key) ?? 0,
     );
   }
 
-  /** Starts another node, and waits until keys are served with it. */
+  /** Starts another node and waits until keys are served with it. */
   async startNode(id: string, dataCentre: string): Promise<void> {
     this.nodes = [...this.nodes, await this.#open(id, dataCentre)];
     await this.waitClaims();
   }
 
-  /** Takes a node out of the service; the runs of a key there still count. */
+  /** Removes a node from `nodes`; its runs of the key are still counted. */
   async removeNode(node: FleetNode, key: string): Promise<void> {
     const runs = (await readRuns(node.backendAddress)).byKey[key] ?? 0;
-    this.#gone.set(key, (this.#gone.get(key) ?? 0) + runs);
+    this.#removedRuns.set(key, (this.#removedRuns.get(key) ?? 0) + runs);
     this.nodes = this.nodes.filter((other) => other !== node);
   }
 
@@ -146,7 +153,7 @@
 
 /** Polls until a condition holds. */
 export async function waitFor(check: () => Promise<boolean>): Promise<void> {
-  const endMs = Date.now() + PATIENCE_MS;
+  const endMs = Date.now() + WAIT_LIMIT_MS;
   while (!await check()) {
     if (Date.now() > endMs) {
       throw new Error("Condition did not hold in time");
--- a/src/daemon/test/load_hint_test.ts
+++ b/src/daemon/test/load_hint_test.ts
@@ -1,4 +1,4 @@
-/** Health and load endpoints that lie or hang, beside real backend servers. */
+/** Health and load endpoints that are wrong or hang while calls are served. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "chai";
 import { request } from "undici";
@@ -7,7 +7,7 @@
 import type { FleetNode } from "../../../standin/fleet.ts";
 
 const TABLE = "examples/coton-loukkos/table.csv";
-const CALLS = 200;
+const CALL_COUNT = 200;
 const CONCURRENCY = 10;
 
 describe("health and load endpoints", () => {
@@ -34,7 +34,10 @@
     await fleet[Symbol.asyncDispose]();
   });
 
-  /** Behaves so at both, and waits until both nodes have the hints. */
+  /**
+   * Sets the behaviour of both backend servers; waits until both hints are
+   * read.
+   */
   async function setHints(
     behaviours: readonly Partial<Behaviour>[],
     hints: readonly (number | null)[],
@@ -60,7 +63,7 @@
     const before = await read();
     await Promise.all(
       Array.from({ length: CONCURRENCY }, async () => {
-        for (let n = 0; n < CALLS / CONCURRENCY; n += 1) {
+        for (let n = 0; n < CALL_COUNT / CONCURRENCY; n += 1) {
           const answer = await request(`http://${nodes[0].edge}/bales/7`);
           await answer.body.dump();
           expect(answer.statusCode).to.equal(200);
@@ -74,22 +77,22 @@
   it("leave work at both backend servers where one lies", async () => {
     await setHints([{ reportedLoad: 0 }, { reportedLoad: 1 }], [0, 100]);
     const runs = await countRuns();
-    expect(runs[0]! + runs[1]!).to.equal(CALLS);
-    expect(Math.min(...runs)).to.be.greaterThan(CALLS / 10);
+    expect(runs[0]! + runs[1]!).to.equal(CALL_COUNT);
+    expect(Math.min(...runs)).to.be.greaterThan(CALL_COUNT / 10);
   });
 
-  it("take no backend server out that is said to be unhealthy", async () => {
+  it("exclude no backend server that is reported as unhealthy", async () => {
     const unhealthy = { isHealthy: false, reportedLoad: 0 };
     await setHints([{ reportedLoad: 0 }, unhealthy], [0, 100]);
     const runs = await countRuns();
-    expect(Math.min(...runs)).to.be.greaterThan(CALLS / 10);
+    expect(Math.min(...runs)).to.be.greaterThan(CALL_COUNT / 10);
   });
 
-  it("hurt nothing where one hangs: it hints at nothing any more", async () => {
+  it("have no effect where one hangs: its hint expires", async () => {
     const hanging = { isLoadFrozen: true, isHealthy: true };
     await setHints([{ reportedLoad: 0 }, hanging], [0, null]);
     const runs = await countRuns();
-    expect(runs[0]! + runs[1]!).to.equal(CALLS);
-    expect(Math.min(...runs)).to.be.greaterThan(CALLS / 10);
+    expect(runs[0]! + runs[1]!).to.equal(CALL_COUNT);
+    expect(Math.min(...runs)).to.be.greaterThan(CALL_COUNT / 10);
   });
 });
--- a/src/daemon/test/quarantine_test.ts
+++ b/src/daemon/test/quarantine_test.ts
@@ -1,4 +1,4 @@
-/** A request that crashes backend servers, resent in separate processes. */
+/** Quarantine of a request that crashes backend servers, across processes. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "chai";
 import { request } from "undici";
@@ -6,11 +6,11 @@
 import type { FleetNode, FleetProcess } from "../../../standin/fleet.ts";
 
 const TABLE = "examples/coton-loukkos/table.csv";
-const SITES = ["kenitra-a", "kenitra-b", "larache-a", "larache-b"];
-const PATIENCE_MS = 20_000;
-const LONG_MS = 90_000;
-const RESENDS = 40;
-const INNOCENTS = 12;
+const DATA_CENTRES = ["kenitra-a", "kenitra-b", "larache-a", "larache-b"];
+const WAIT_LIMIT_MS = 20_000;
+const TEST_TIMEOUT_MS = 90_000;
+const RESEND_COUNT = 40;
+const INNOCENT_COUNT = 12;
 const CRASH_PATH = "/stock/crash";
 
 interface Answer {
@@ -21,15 +21,15 @@
 describe("a request that crashes backend servers", () => {
   let fleet: Fleet;
   let nodes: readonly FleetNode[];
-  let deaths = 0;
-  let isOver = false;
+  let crashCount = 0;
+  let isClosing = false;
   let nextId = 0;
 
   before(async () => {
     fleet = new Fleet();
-    await fleet.startControl("control-a", SITES[0]!);
+    await fleet.startControl("control-a", DATA_CENTRES[0]!);
     nodes = await Promise.all(
-      SITES.map((dataCentre, i) =>
+      DATA_CENTRES.map((dataCentre, i) =>
         fleet.startNode({
           id: `warehouse-${i}`,
           service: "warehouse",
@@ -47,17 +47,17 @@
   });
 
   after(async () => {
-    isOver = true;
+    isClosing = true;
     await fleet[Symbol.asyncDispose]();
   });
 
-  /** Counts the deaths of a backend server, and starts it again. */
+  /** Counts the crashes of a backend server and restarts it after each. */
   function watchBackend(node: FleetNode, backend: FleetProcess): void {
     backend.child.once("exit", () => {
-      if (isOver) {
+      if (isClosing) {
         return;
       }
-      deaths += 1;
+      crashCount += 1;
       const { id, egress, backendAddress: address } = node;
       const behaviour = { crashPath: CRASH_PATH };
       fleet.startBackend({ id, address, egress, slots: 13, behaviour })
@@ -76,8 +76,8 @@
     };
   }
 
-  /** Resends an innocent request, to node after node, until it is whole. */
-  async function sendUntilWhole(path: string): Promise<readonly Answer[]> {
+  /** Resends an innocent request to each node in turn until it is served. */
+  async function resendUntilServed(path: string): Promise<readonly Answer[]> {
     const answers: Answer[] = [];
     await waitFor(async () => {
       const node = nodes[answers.length % nodes.length]!;
@@ -87,7 +87,9 @@
     return answers;
   }
 
-  /** Counts by the metrics: the time line of a busy node is a short ring. */
+  /**
+   * Counts events by the metrics: the timeline of a busy node drops old events.
+   */
   async function countEvents(type: string): Promise<number> {
     const pattern = new RegExp(
       `^basilpin_events\\w*\\{.*type="${type}".*\\} (\\d+)`,
@@ -102,21 +104,21 @@
 
   it("costs two of them at most, however often it is resent", async () => {
     let isResending = true;
-    const innocents = Array.from({ length: INNOCENTS }, async (_, i) => {
+    const innocents = Array.from({ length: INNOCENT_COUNT }, async (_, i) => {
       const answers: Answer[] = [];
       for (let n = 0; isResending; n++) {
-        answers.push(...await sendUntilWhole(`/stock/bale-${i}-${n}`));
+        answers.push(...await resendUntilServed(`/stock/bale-${i}-${n}`));
       }
       return answers;
     });
     const resent: Answer[] = [];
-    for (let i = 0; i < RESENDS; i++) {
+    for (let i = 0; i < RESEND_COUNT; i++) {
       resent.push(await send(nodes[i % nodes.length]!, CRASH_PATH));
       await sleep(50);
     }
     isResending = false;
     const innocentAnswers = (await Promise.all(innocents)).flat();
-    expect(deaths).to.equal(2);
+    expect(crashCount).to.equal(2);
     const last = resent.slice(-nodes.length);
     for (const { status, outcome } of last) {
       expect([status, outcome]).to.deep.equal([422, "not-run"]);
@@ -124,7 +126,7 @@
     const refused = innocentAnswers.filter(({ status }) => status === 422);
     expect(refused).to.deep.equal([]);
     expect(await countEvents("RequestQuarantined")).to.equal(1);
-  }).timeout(LONG_MS);
+  }).timeout(TEST_TIMEOUT_MS);
 
   it("leaves no innocent request suspect", async () => {
     expect(await countEvents("BackendCrashed")).to.equal(2);
@@ -136,20 +138,20 @@
           .test(await answer.body.text());
       });
     }
-  }).timeout(LONG_MS);
+  }).timeout(TEST_TIMEOUT_MS);
 
-  it("runs none of its copies that come at once to all nodes", async () => {
+  it("runs none of its copies sent to all nodes at once", async () => {
     const copies = nodes.flatMap((node) =>
       Array.from({ length: 5 }, () => send(node, CRASH_PATH))
     );
     for (const { status } of await Promise.all(copies)) {
       expect(status).to.equal(422);
     }
-    expect(deaths).to.equal(2);
-  }).timeout(LONG_MS);
+    expect(crashCount).to.equal(2);
+  }).timeout(TEST_TIMEOUT_MS);
 
-  it("costs one more than ran it when the first one died", async () => {
-    const before = deaths;
+  it("crashes at most one server per node and one more when sent at once", async () => {
+    const before = crashCount;
     const path = `${CRASH_PATH}-at-once`;
     for (let round = 0; round < 4; round++) {
       const copies = nodes.flatMap((node) =>
@@ -158,18 +160,18 @@
       await Promise.all(copies);
       await sleep(1_200);
     }
-    expect(deaths - before).to.be.at.most(nodes.length + 1);
+    expect(crashCount - before).to.be.at.most(nodes.length + 1);
     for (const node of nodes) {
       expect((await send(node, path)).status).to.equal(422);
     }
-  }).timeout(LONG_MS);
+  }).timeout(TEST_TIMEOUT_MS);
 });
 
 async function waitFor(isMet: () => Promise<boolean>): Promise<void> {
-  const endMs = Date.now() + PATIENCE_MS;
+  const endMs = Date.now() + WAIT_LIMIT_MS;
   while (!await isMet()) {
     if (Date.now() > endMs) {
-      throw new Error("Did not come about in time");
+      throw new Error("Condition did not hold in time");
     }
     await sleep(20);
   }
--- a/src/daemon/test/readme_test.ts
+++ b/src/daemon/test/readme_test.ts
@@ -1,4 +1,4 @@
-/** The README's example is the program that runs. */
+/** The example in the README equals the demo program, and that runs. */
 import { readFileSync } from "node:fs";
 import { expect } from "chai";
 import { Fleet } from "../../../standin/fleet.ts";
--- a/src/daemon/test/settings_test.ts
+++ b/src/daemon/test/settings_test.ts
@@ -1,4 +1,4 @@
-/** Settings: what is wrong is told in one line. */
+/** Settings: each fault is reported in one line. */
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -12,7 +12,7 @@
 
 const KEYS = "standin/certificates";
 
-/** Settings with TLS, the transport of the example replaced. */
+/** Returns the example settings with TLS; undefined removes a key. */
 function writeTls(
   lines: Readonly<Record<string, string | undefined>> = {},
 ): string {
@@ -51,7 +51,7 @@
 
   for (const deployment of ["coton-loukkos", "toy-trust"]) {
     for (const role of ["node", "control"]) {
-      it(`takes the example of a ${role} of ${deployment}`, () => {
+      it(`accepts the example of a ${role} of ${deployment}`, () => {
         const file = `examples/${deployment}/${role}.toml`;
         expect(readSettings(file)._unsafeUnwrap().role).to.equal(role);
       });
@@ -68,17 +68,17 @@
     "unknown role": NODE.replace('"node"', '"edge"'),
     "no replicas": NODE.replace(/replicas = .*/, "replicas = []"),
     "no TOML": NODE.replace('role = "node"', 'role = "node'),
-    "plaintext not said": NODE.replace(/\[security\][^]*$/, ""),
+    "missing security section": NODE.replace(/\[security\][^]*$/, ""),
   };
   for (const [name, text] of Object.entries(faults)) {
-    it(`tells of ${name} in one line`, () => {
+    it(`reports ${name} in one line`, () => {
       const { message } = parseSettings("node.toml", text)._unsafeUnwrapErr();
       expect(message.split("\n")).to.have.length(1);
       snapshots.match(name, message);
     });
   }
 
-  it("takes TLS and reads the keys that it names", () => {
+  it("accepts TLS and reads the key files that it names", () => {
     const settings = parseSettings("node.toml", writeTls())._unsafeUnwrap();
     const security = readSecurity("node.toml", settings)._unsafeUnwrap();
     expect(security.tls?.certificate).to.contain("BEGIN CERTIFICATE");
@@ -106,7 +106,7 @@
       `${NODE}\n[operators]\nfile = "missing.toml"\n`,
   };
   for (const [name, text] of Object.entries(badKeys)) {
-    it(`tells of ${name} in one line`, () => {
+    it(`reports ${name} in one line`, () => {
       snapshots.match(name, readFault(text));
     });
   }
@@ -117,7 +117,7 @@
     "operators that are no TOML": "amal: 12\n",
   };
   for (const [name, text] of Object.entries(badOperators)) {
-    it(`tells of ${name} in one line`, () => {
+    it(`reports ${name} in one line`, () => {
       const file = join(folder, "operators.toml");
       writeFileSync(file, text);
       const settings = `${NODE}\n[operators]\nfile = "${file}"\n`;
--- a/src/daemon/test/silent_connection_test.ts
+++ b/src/daemon/test/silent_connection_test.ts
@@ -1,4 +1,4 @@
-/** Connections between two nodes go silent for good while new ones work. */
+/** Connections between two nodes that stop delivering, while new ones work. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "chai";
 import { request } from "undici";
@@ -8,7 +8,7 @@
 import { Relay } from "../../../standin/relay.ts";
 
 const TABLE = "examples/coton-loukkos/table.csv";
-const LOOKUPS = 20;
+const LOOKUP_COUNT = 20;
 
 describe("silent connections between nodes", () => {
   let fleet: Fleet;
@@ -52,7 +52,7 @@
 
   async function callLookups(): Promise<readonly string[]> {
     return await Promise.all(
-      Array.from({ length: LOOKUPS }, async (_, i) => {
+      Array.from({ length: LOOKUP_COUNT }, async (_, i) => {
         const answer = await request(`http://${entry.edge}/bales/${i}`);
         await answer.body.dump();
         return `${answer.statusCode} ${answer.headers["basilpin-outcome"]}`;
@@ -86,9 +86,9 @@
   it("lookups get whole answers on new connections", async () => {
     expect(new Set(await callLookups())).to.deep.equal(new Set(["200 ran"]));
     expect(relay.breakOpen("silent")).to.be.above(0);
-    const taken = relay.count;
+    const connectionsBefore = relay.count;
     expect(new Set(await callLookups())).to.deep.equal(new Set(["200 ran"]));
-    expect(relay.count).to.be.above(taken);
+    expect(relay.count).to.be.above(connectionsBefore);
   });
 
   it("are not used by later calls once one was found silent", async () => {
--- a/src/daemon/test/silent_replica_test.ts
+++ b/src/daemon/test/silent_replica_test.ts
@@ -1,4 +1,4 @@
-/** A control replica that falls silent shows everywhere, and so does its end. */
+/** Silence of a control replica, and its end, is shown by all reports. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "chai";
 import { request } from "undici";
@@ -6,8 +6,8 @@
 import { Fleet } from "../../../standin/fleet.ts";
 import type { FleetControl } from "../../../standin/fleet.ts";
 
-const WAIT_MS = 30_000;
-const POLL_MS = 100;
+const WAIT_LIMIT_MS = 30_000;
+const POLL_INTERVAL_MS = 100;
 
 describe("a silent control replica", function () {
   this.timeout(120_000);
@@ -32,33 +32,33 @@
     return await answer.body.text();
   }
 
-  /** Polls until what is read tells that something holds. */
-  async function waitShown(
+  /** Polls until the text read matches the pattern. */
+  async function waitForMatch(
     what: string,
     read: () => Promise<string>,
     pattern: RegExp,
   ): Promise<void> {
-    const endMs = Date.now() + WAIT_MS;
+    const endMs = Date.now() + WAIT_LIMIT_MS;
     let text = await read();
     while (!pattern.test(text) && Date.now() < endMs) {
-      await sleep(POLL_MS);
+      await sleep(POLL_INTERVAL_MS);
       text = await read();
     }
     expect(text, what).to.match(pattern);
   }
 
-  /** Waits until status, metrics and time line all tell the same. */
-  async function waitTold(
+  /** Waits until status, metrics and timeline all report the expected state. */
+  async function waitReported(
     silent: FleetControl,
-    told: { readonly isSilent: boolean; readonly by: FleetControl },
+    expected: { readonly isSilent: boolean; readonly by: FleetControl },
   ): Promise<void> {
-    const { isSilent, by } = told;
+    const { isSilent, by } = expected;
     const { id } = silent;
-    const word = isSilent ? "SILENT" : "heard";
-    await waitShown(
+    const label = isSilent ? "SILENT" : "heard";
+    await waitForMatch(
       "status",
       async () => (await fleet.run("status")).stdout,
-      new RegExp(`^${id} .* ${word}$`, "m"),
+      new RegExp(`^${id} .* ${label}$`, "m"),
     );
     const readMetrics = () => readText(by.operator, "/metrics");
     const value = isSilent ? 1 : 0;
@@ -68,10 +68,10 @@
         `basilpin_replica_silent\\{[^}]*replica="${id}"[^}]*\\} ${value}`,
       ]
     ) {
-      await waitShown("metrics", readMetrics, new RegExp(`^${line}$`, "m"));
+      await waitForMatch("metrics", readMetrics, new RegExp(`^${line}$`, "m"));
     }
     const type = isSilent ? "ReplicaSilent" : "ReplicaHeard";
-    await waitShown(
+    await waitForMatch(
       "time line",
       async () => (await fleet.run("timeline")).stdout,
       new RegExp(` ${by.id} +${type} +replica=${id}$`, "m"),
@@ -87,25 +87,28 @@
         };
         return cluster.leader === control.id;
       };
-      // Those that commands ask first stay awake, but where they lead.
+      // Commands query the first replicas first: stop the last of the role.
       const leads = await Promise.all(controls.map(isLeader));
       const wanted = role === "leader";
       const silent = controls.findLast((_, i) => leads[i] === wanted)!;
       const by = controls.find((control) => control !== silent)!;
       silent.child.kill("SIGSTOP");
-      await waitTold(silent, { isSilent: true, by });
+      await waitReported(silent, { isSilent: true, by });
       silent.child.kill("SIGCONT");
-      await waitTold(silent, { isSilent: false, by });
+      await waitReported(silent, { isSilent: false, by });
       const { stdout } = await fleet.run("timeline", "--json");
-      const told = (JSON.parse(stdout) as readonly TimelineRecord[])
+      const eventTypes = (JSON.parse(stdout) as readonly TimelineRecord[])
         .flatMap(({ process, event }) =>
           process === by.id && "replica" in event &&
             event.replica === silent.id && event.type !== "ReplicaJoined"
             ? [event.type]
             : []
         );
-      const at = told.indexOf("ReplicaSilent");
-      expect(told.slice(at)).to.deep.equal(["ReplicaSilent", "ReplicaHeard"]);
+      const at = eventTypes.indexOf("ReplicaSilent");
+      expect(eventTypes.slice(at)).to.deep.equal([
+        "ReplicaSilent",
+        "ReplicaHeard",
+      ]);
     });
   }
 });
--- a/src/daemon/test/transport_test.ts
+++ b/src/daemon/test/transport_test.ts
@@ -1,4 +1,4 @@
-/** TLS among separate processes, and operators' credentials. */
+/** TLS between processes, and credentials of operators. */
 import { readFileSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -12,10 +12,10 @@
 
 const TABLE = "examples/coton-loukkos/table.csv";
 const TOKEN = "token-of-amal";
-const WAIT_MS = 20_000;
-const POLL_MS = 50;
+const WAIT_LIMIT_MS = 20_000;
+const POLL_INTERVAL_MS = 50;
 
-/** Clients by the certificate that they present; they trust the authority. */
+/** Clients by the certificate that they present; all trust the authority. */
 const CLIENTS = {
   "of the authority": createKeys("process"),
   "without a certificate": {},
@@ -40,7 +40,7 @@
   };
 }
 
-/** Returns the status, or `refused` where no answer came. */
+/** Returns the status, or `refused` if no answer was received. */
 async function tryRequest(
   url: string,
   client: ClientName,
@@ -75,10 +75,10 @@
 }
 
 async function waitUntil(isMet: () => Promise<boolean>): Promise<void> {
-  const endMs = Date.now() + WAIT_MS;
+  const endMs = Date.now() + WAIT_LIMIT_MS;
   while (!await isMet()) {
     expect(Date.now(), "waited too long").to.be.lessThan(endMs);
-    await sleep(POLL_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
 }
 
@@ -170,7 +170,7 @@
     ]);
   });
 
-  it("says nothing of plain text in the log", () => {
+  it("logs no warning of plain text", () => {
     for (const { log } of [...controls, provenance, custody]) {
       expect(log.join("\n")).to.contain("ProcessStarted");
       expect(log.join("\n")).not.to.contain("plain text");
@@ -178,7 +178,7 @@
     }
   });
 
-  it("takes a client of the authority", async () => {
+  it("accepts a client of the authority", async () => {
     const client = "of the authority";
     const ingress = `https://${provenance.ingress}`;
     const peer = encodeMessage({ type: "Unknown" });
@@ -269,7 +269,7 @@
     expect(stdout).not.to.contain("draining");
   });
 
-  it("tells an operator what is wrong with TLS", async () => {
+  it("reports to an operator what is wrong with TLS", async () => {
     const other = findCertificate("other_authority");
     const wrong = await fleet.run("--authority", other, "status");
     expect(wrong.exitCode).to.equal(4);
@@ -317,7 +317,7 @@
       .to.deep.equal([40, 40]);
   });
 
-  it("tells a client that comes by TLS", async () => {
+  it("reports plain text to a client that uses TLS", async () => {
     const authority = findCertificate("authority");
     const asked = await fleet.run("--authority", authority, "status");
     expect(asked.exitCode).to.equal(4);
--- a/src/daemon/test/whole_path_test.ts
+++ b/src/daemon/test/whole_path_test.ts
@@ -1,4 +1,4 @@
-/** The whole path in separate processes: caller, node, node, backend server. */
+/** The full call path across processes: caller, two nodes, backend server. */
 import { writeFileSync } from "node:fs";
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "chai";
@@ -96,7 +96,7 @@
     }
   });
 
-  it("cuts the caller off where the backend server's answer is cut", async () => {
+  it("cuts the caller's connection where the backend server's answer is cut", async () => {
     const answer = await request(`http://${custody.edge}/bales/42`, {
       headers: { "x-standin-cut": "1" },
     });
