--- a/src/base/node/first_requests.ts
+++ b/src/base/node/first_requests.ts
@@ -11,29 +11,29 @@
 import type { FirstRequestQueue } from "../common/first_requests.ts";
 
 /** Turns until the close behind a request that was just read has been read. */
-const CLOSE_TURNS = 2;
+const CLOSE_READ_TURNS = 2;
 /** Longest stretch of turns that only accept, in milliseconds. */
-const ACCEPT_STRETCH_MS = 10;
+const MAX_ACCEPT_ONLY_MS = 10;
 /** Longest slice of held work in one turn, in milliseconds. */
-const SLICE_MS = 5;
+const MAX_SLICE_MS = 5;
 
-interface HeldRequest {
+interface QueuedRequest {
   readonly run: () => void;
   /** The turn from which on it may run. */
-  readonly fromTurn: number;
+  readonly earliestTurn: number;
 }
 
 /** Owns the requests that wait for what lies behind them. */
 export class FirstRequests implements FirstRequestQueue {
   readonly #readClock: () => number;
-  readonly #held: HeldRequest[] = [];
+  readonly #queue: QueuedRequest[] = [];
   #turn = 0;
-  #isTurning = false;
+  #isActive = false;
   /** Whether a connection was accepted in the present turn. */
   #hasAccepted = false;
   /** Since when each turn has accepted a connection. */
-  #acceptsSinceMs = 0;
-  #stretchEndMs = 0;
+  #acceptingSinceMs = 0;
+  #acceptOnlyUntilMs = 0;
 
   constructor(readClock: () => number) {
     this.#readClock = readClock;
@@ -41,27 +41,27 @@
 
   /** Longest time that a connection accepted now may have waited. */
   get queuedMs(): number {
-    return this.#isTurning ? this.#readClock() - this.#acceptsSinceMs : 0;
+    return this.#isActive ? this.#readClock() - this.#acceptingSinceMs : 0;
   }
 
   /** Notes that a connection was accepted; more may wait to be. */
   noteAccepted(): void {
     this.#hasAccepted = true;
-    this.#startTurns();
+    this.#start();
   }
 
   hold(run: () => void): void {
-    this.#startTurns();
-    this.#held.push({ run, fromTurn: this.#turn + CLOSE_TURNS });
+    this.#start();
+    this.#queue.push({ run, earliestTurn: this.#turn + CLOSE_READ_TURNS });
   }
 
-  #startTurns(): void {
-    if (this.#isTurning) {
+  #start(): void {
+    if (this.#isActive) {
       return;
     }
-    this.#isTurning = true;
-    this.#acceptsSinceMs = this.#readClock();
-    this.#stretchEndMs = this.#acceptsSinceMs + ACCEPT_STRETCH_MS;
+    this.#isActive = true;
+    this.#acceptingSinceMs = this.#readClock();
+    this.#acceptOnlyUntilMs = this.#acceptingSinceMs + MAX_ACCEPT_ONLY_MS;
     setImmediate(() => this.#endTurn());
   }
 
@@ -72,27 +72,27 @@
     const hasAccepted = this.#hasAccepted;
     this.#hasAccepted = false;
     if (!hasAccepted) {
-      this.#acceptsSinceMs = nowMs;
+      this.#acceptingSinceMs = nowMs;
     }
-    if (!hasAccepted || nowMs >= this.#stretchEndMs) {
-      this.#runSlice(nowMs + SLICE_MS);
-      this.#stretchEndMs = this.#readClock() + ACCEPT_STRETCH_MS;
+    if (!hasAccepted || nowMs >= this.#acceptOnlyUntilMs) {
+      this.#runSlice(nowMs + MAX_SLICE_MS);
+      this.#acceptOnlyUntilMs = this.#readClock() + MAX_ACCEPT_ONLY_MS;
     }
-    if (hasAccepted || this.#held.length > 0) {
+    if (hasAccepted || this.#queue.length > 0) {
       setImmediate(() => this.#endTurn());
     } else {
-      this.#isTurning = false;
+      this.#isActive = false;
     }
   }
 
   #runSlice(endMs: number): void {
     while (this.#isNextReady() && this.#readClock() < endMs) {
-      this.#held.shift()!.run();
+      this.#queue.shift()!.run();
     }
   }
 
   #isNextReady(): boolean {
-    const [next] = this.#held;
-    return next !== undefined && next.fromTurn <= this.#turn;
+    const [next] = this.#queue;
+    return next !== undefined && next.earliestTurn <= this.#turn;
   }
 }
--- a/src/base/node/loop_watch.ts
+++ b/src/base/node/loop_watch.ts
@@ -17,47 +17,47 @@
  * must not begin half a second after its caller has left, and two processes
  * and the ways between them share that.
  */
-const BEHIND_MS = 100;
+const LAG_THRESHOLD_MS = 100;
 /**
  * Turns of the loop until a close that lies behind a request has been read: the
  * rest of the present one, and the next. What comes on a connection is read a
  * turn after it was accepted at the earliest, so the loop is behind as long.
  */
-const LATE_TURNS = 2;
+const CLOSE_READ_TURNS = 2;
 
 /** Compares when a periodic timer ran with when it was due. */
 export class LoopWatch {
   readonly #options: LoopWatchOptions;
-  #tickedAtMs: number;
+  #lastTickMs: number;
   /** What is read now has come since: the last tick, if that was in time. */
-  #sinceMs: number;
+  #oldestArrivalMs: number;
   #isCatchingUp = false;
   /** Whether a connection was accepted in the present stretch of turns. */
   #hasAccepted = false;
 
   constructor(options: LoopWatchOptions) {
     this.#options = options;
-    this.#tickedAtMs = options.readClock();
-    this.#sinceMs = this.#tickedAtMs;
+    this.#lastTickMs = options.readClock();
+    this.#oldestArrivalMs = this.#lastTickMs;
   }
 
   /** Longest time that what is read now may have been there, beyond a period. */
   get lagMs(): number {
     const { readClock, periodMs } = this.#options;
-    return Math.max(0, readClock() - this.#sinceMs - periodMs);
+    return Math.max(0, readClock() - this.#oldestArrivalMs - periodMs);
   }
 
   /** To be called by the timer. */
   tick(): void {
     const { lagMs } = this;
-    this.#tickedAtMs = this.#options.readClock();
+    this.#lastTickMs = this.#options.readClock();
     if (this.#isCatchingUp) {
       return;
     }
-    if (lagMs >= BEHIND_MS) {
-      this.#catchUp(this.#tickedAtMs + lagMs);
+    if (lagMs >= LAG_THRESHOLD_MS) {
+      this.#catchUp(this.#lastTickMs + lagMs);
     } else {
-      this.#sinceMs = this.#tickedAtMs;
+      this.#oldestArrivalMs = this.#lastTickMs;
     }
   }
 
@@ -71,10 +71,10 @@
 
   /** Runs `run`, where the loop is behind only once what lay unread is read. */
   runOnceRead(run: () => void): void {
-    if (this.lagMs < BEHIND_MS) {
+    if (this.lagMs < LAG_THRESHOLD_MS) {
       run();
     } else {
-      runAfterTurns(LATE_TURNS, run);
+      runAfterTurns(CLOSE_READ_TURNS, run);
     }
   }
 
@@ -85,12 +85,12 @@
   #catchUp(endMs: number): void {
     this.#isCatchingUp = true;
     this.#hasAccepted = false;
-    runAfterTurns(LATE_TURNS, () => {
+    runAfterTurns(CLOSE_READ_TURNS, () => {
       if (this.#hasAccepted && this.#options.readClock() < endMs) {
         this.#catchUp(endMs);
       } else {
         this.#isCatchingUp = false;
-        this.#sinceMs = this.#tickedAtMs;
+        this.#oldestArrivalMs = this.#lastTickMs;
       }
     });
   }
--- a/src/base/node/shared_ticks.ts
+++ b/src/base/node/shared_ticks.ts
@@ -8,23 +8,23 @@
 /** Periods are rounded up to whole steps, in milliseconds. */
 export const TICK_STEP_MS = 50;
 
-interface Tick {
+interface PeriodicTask {
   readonly steps: number;
   readonly run: () => void;
 }
 
-const ticks = new Set<Tick>();
+const tasks = new Set<PeriodicTask>();
 let timer: NodeJS.Timeout | undefined;
 let stepCount = 0;
 
 /** Runs `run` each `periodMs`, together with others; returns what stops it. */
 export function startTicks(periodMs: number, run: () => void): () => void {
   const tick = { steps: Math.max(1, Math.ceil(periodMs / TICK_STEP_MS)), run };
-  ticks.add(tick);
+  tasks.add(tick);
   timer ??= setInterval(runStep, TICK_STEP_MS);
   return () => {
-    ticks.delete(tick);
-    if (ticks.size === 0) {
+    tasks.delete(tick);
+    if (tasks.size === 0) {
       clearInterval(timer);
       timer = undefined;
     }
@@ -33,7 +33,7 @@
 
 function runStep(): void {
   stepCount += 1;
-  for (const { steps, run } of [...ticks]) {
+  for (const { steps, run } of [...tasks]) {
     if (stepCount % steps === 0) {
       run();
     }
--- a/src/base/node/tls.ts
+++ b/src/base/node/tls.ts
@@ -33,13 +33,13 @@
 /** Opens the connections of undici's clients. */
 export type Connector = buildConnector.connector;
 
-const HANDSHAKE_MS = 10_000;
+const HANDSHAKE_TIMEOUT_MS = 10_000;
 
 /** Reads the three files and checks that each is what it should be. */
 export function readTlsKeys(files: TlsFiles): Result<TlsKeys, TlsFault> {
   const found: { -readonly [Name in keyof TlsKeys]?: string } = {};
   for (const name of ["certificate", "key", "authority"] as const) {
-    const text = readPem(files[name], CHECKS[name]);
+    const text = readPem(files[name], PEM_CHECKS[name]);
     if (text.isErr()) {
       return err({ name, reason: `${files[name]}: ${text.error}` });
     }
@@ -56,7 +56,7 @@
 
 /** Reads a file with the certificate of an authority. */
 export function readAuthority(file: string): Result<string, string> {
-  return readPem(file, CHECKS.authority);
+  return readPem(file, PEM_CHECKS.authority);
 }
 
 /**
@@ -78,7 +78,7 @@
     ...http,
     cert: tls.certificate,
     key: tls.key,
-    handshakeTimeout: HANDSHAKE_MS,
+    handshakeTimeout: HANDSHAKE_TIMEOUT_MS,
     ...(isMutual
       ? { ca: tls.authority, requestCert: true, rejectUnauthorized: true }
       : {}),
@@ -100,7 +100,7 @@
   return (options, done) =>
     connect(options, (...[error, socket]) => {
       if (error !== null) {
-        done(markConnect(error), null);
+        done(markConnectError(error), null);
         return;
       }
       done(null, socket);
@@ -135,13 +135,13 @@
   };
 }
 
-function markConnect(error: Error): Error {
+function markConnectError(error: Error): Error {
   const marked: NodeJS.ErrnoException = error;
   marked.syscall ??= "connect";
   return error;
 }
 
-const CHECKS = {
+const PEM_CHECKS = {
   certificate: checkCertificate,
   key: (text: string) => void createPrivateKey(text),
   authority: checkCertificate,
--- a/src/cli/call_failure.ts
+++ b/src/cli/call_failure.ts
@@ -8,7 +8,7 @@
 }
 
 /** Codes by which OpenSSL tells that a certificate isn't of the authority. */
-const UNTRUSTED: readonly string[] = [
+const UNTRUSTED_CODES: readonly string[] = [
   "CERT_SIGNATURE_FAILURE",
   "DEPTH_ZERO_SELF_SIGNED_CERT",
   "SELF_SIGNED_CERT_IN_CHAIN",
@@ -17,8 +17,12 @@
   "UNABLE_TO_VERIFY_LEAF_SIGNATURE",
 ];
 /** Codes of a connection that ended under a request. */
-const CLOSED: readonly string[] = ["ECONNRESET", "EPIPE", "UND_ERR_SOCKET"];
-const NO_TLS: readonly string[] = [
+const CLOSED_CODES: readonly string[] = [
+  "ECONNRESET",
+  "EPIPE",
+  "UND_ERR_SOCKET",
+];
+const PLAINTEXT_CODES: readonly string[] = [
   "ERR_SSL_WRONG_VERSION_NUMBER",
   "ERR_SSL_PACKET_LENGTH_TOO_LONG",
 ];
@@ -27,7 +31,7 @@
 export function describeFailure(error: unknown, isTls: boolean): CallFailure {
   const { code, message } = error as { code?: string; message: string };
   const reason = code ?? message;
-  if (UNTRUSTED.includes(reason)) {
+  if (UNTRUSTED_CODES.includes(reason)) {
     return {
       reason: `certificate is not of the authority (${reason})`,
       advice: "Name by --authority the file that security.authority of the " +
@@ -40,14 +44,14 @@
       advice: "Give the process a new certificate, and check the clocks",
     };
   }
-  if (isTls && NO_TLS.includes(reason)) {
+  if (isTls && PLAINTEXT_CODES.includes(reason)) {
     return {
       reason: "answers in plain text, not in TLS",
       advice: "Check the address; leave --authority out where transport is " +
         '"plaintext"',
     };
   }
-  if (!isTls && CLOSED.includes(reason)) {
+  if (!isTls && CLOSED_CODES.includes(reason)) {
     return {
       reason: `closed the connection (${reason})`,
       advice: "If it takes only TLS, name its authority by --authority",
--- a/src/cli/commands/drain.ts
+++ b/src/cli/commands/drain.ts
@@ -25,7 +25,7 @@
   node: string,
 ): Promise<Result<void, CliError>> {
   const path = `/drain?node=${encodeURIComponent(node)}`;
-  const reply = await context.client.ask({ method: "POST", path });
+  const reply = await context.client.request({ method: "POST", path });
   if (reply.isErr()) {
     return err(reply.error);
   }
--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -35,7 +35,7 @@
   return readLines(files).andThen((lines) => {
     const explanation = explainRequest(lines, requestId);
     if (explanation.decisions.length === 0) {
-      return err(createUnknownError(requestId));
+      return err(createNotFoundError(requestId));
     }
     if (isJson) {
       writeJson(explanation);
@@ -46,7 +46,7 @@
   });
 }
 
-function createUnknownError(requestId: string): CliError {
+function createNotFoundError(requestId: string): CliError {
   return createCliError({
     exitCode: EXIT_CODES.failed,
     message: `No line names the request ${requestId}`,
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -6,7 +6,7 @@
 import type { CliError } from "../cli_error.ts";
 import { createContext, finishCommand } from "../command_context.ts";
 import type { CommandContext } from "../command_context.ts";
-import { MEMORY_TIMEOUT_MS } from "../operator_client.ts";
+import { IN_MEMORY_READ_TIMEOUT_MS } from "../operator_client.ts";
 import { writeColumns, writeJson, writeLine } from "../output.ts";
 
 /** What a control replica answers. */
@@ -30,10 +30,10 @@
 export async function fetchStatus(
   context: CommandContext,
 ): Promise<Result<StatusAnswer, CliError>> {
-  const reply = await context.client.ask({
+  const reply = await context.client.request({
     method: "GET",
     path: "/status",
-    timeoutMs: MEMORY_TIMEOUT_MS,
+    timeoutMs: IN_MEMORY_READ_TIMEOUT_MS,
   });
   return reply.map(({ body }) => body as StatusAnswer);
 }
--- a/src/cli/commands/table.ts
+++ b/src/cli/commands/table.ts
@@ -139,7 +139,7 @@
   context: CommandContext,
 ): Promise<Result<void, CliError>> {
   const call = { method: "GET", path: "/table/history" } as const;
-  const reply = await context.client.ask(call);
+  const reply = await context.client.request(call);
   return reply.map(({ body }) => {
     const entries = body as readonly HistoryEntry[];
     if (context.isJson) {
@@ -167,9 +167,9 @@
   const editId = options.editId ?? randomUUID();
   const body = { editId, change };
   const call = { method: "POST", path: "/table/edits", body } as const;
-  const reply = await context.client.ask(call);
+  const reply = await context.client.request(call);
   if (reply.isErr()) {
-    return err(addResend(reply.error, editId));
+    return err(addRetryAdvice(reply.error, editId));
   }
   if (reply.value.status === 400) {
     return err(createCliError({
@@ -195,7 +195,7 @@
 }
 
 /** Only of an edit that may have arrived the outcome is unknown. */
-function addResend(error: CliError, editId: string): CliError {
+function addRetryAdvice(error: CliError, editId: string): CliError {
   const { exitCode, advice } = error;
   return exitCode === EXIT_CODES.unreachable
     ? {
@@ -209,7 +209,7 @@
 async function fetchTable(
   context: CommandContext,
 ): Promise<Result<Table, CliError>> {
-  const reply = await context.client.ask({ method: "GET", path: "/table" });
+  const reply = await context.client.request({ method: "GET", path: "/table" });
   return reply.map(({ body }) => body as Table);
 }
 
--- a/src/cli/commands/timeline.ts
+++ b/src/cli/commands/timeline.ts
@@ -9,7 +9,7 @@
 import { createContext, finishCommand } from "../command_context.ts";
 import type { CommandContext } from "../command_context.ts";
 import { EXIT_CODES } from "../exit_codes.ts";
-import { MEMORY_TIMEOUT_MS } from "../operator_client.ts";
+import { IN_MEMORY_READ_TIMEOUT_MS } from "../operator_client.ts";
 import { writeColumns, writeJson, writeLine } from "../output.ts";
 import { createTimelinePage } from "../timeline_page.ts";
 import { fetchStatus } from "./status.ts";
@@ -83,7 +83,7 @@
   const call = {
     method: "GET",
     path: "/timeline",
-    timeoutMs: MEMORY_TIMEOUT_MS,
+    timeoutMs: IN_MEMORY_READ_TIMEOUT_MS,
   } as const;
   const status = await fetchStatus(context);
   if (status.isErr()) {
@@ -94,7 +94,7 @@
     ...status.value.nodes.map((node) => node.operator),
   ]);
   const replies = await Promise.all(
-    [...addresses].map((address) => context.client.askOne(address, call)),
+    [...addresses].map((address) => context.client.requestFrom(address, call)),
   );
   const rings = replies.map((reply) =>
     reply.isOk() ? reply.value.body as readonly TimelineRecord[] : []
--- a/src/cli/commands/trace.ts
+++ b/src/cli/commands/trace.ts
@@ -68,11 +68,11 @@
     } else {
       printOutcome(outcome);
     }
-    return compareWithStated(file, trace, outcome);
+    return compareWithExpected(file, trace, outcome);
   });
 }
 
-function compareWithStated(
+function compareWithExpected(
   file: string,
   trace: Trace,
   outcome: TraceOutcome,
--- a/src/cli/commands/wait_in_force.ts
+++ b/src/cli/commands/wait_in_force.ts
@@ -8,15 +8,15 @@
 import { writeLine } from "../output.ts";
 import { fetchStatus } from "./status.ts";
 
-const WAIT_MS = 15_000;
-const POLL_MS = 100;
+const CONFIRM_TIMEOUT_MS = 15_000;
+const POLL_INTERVAL_MS = 100;
 
 /** Returns an error that names the nodes that have not confirmed in time. */
 export async function waitInForce(
   context: CommandContext,
   version: number,
 ): Promise<Result<void, CliError>> {
-  const endMs = Date.now() + WAIT_MS;
+  const endMs = Date.now() + CONFIRM_TIMEOUT_MS;
   let behind: readonly string[] = [];
   while (Date.now() < endMs) {
     const status = await fetchStatus(context);
@@ -33,7 +33,7 @@
       }
       return ok(undefined);
     }
-    await sleep(POLL_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
   return err(createCliError({
     exitCode: EXIT_CODES.unconfirmed,
--- a/src/cli/operator_client.ts
+++ b/src/cli/operator_client.ts
@@ -33,9 +33,9 @@
   readonly access: Result<OperatorAccess, CliError>;
 }
 
-const TIMEOUT_MS = 10_000;
+const DEFAULT_TIMEOUT_MS = 10_000;
 /** For what a process answers from memory: a longer silence is a fault. */
-export const MEMORY_TIMEOUT_MS = 2_000;
+export const IN_MEMORY_READ_TIMEOUT_MS = 2_000;
 
 /** Asks control replicas, and single processes by their address. */
 export class OperatorClient {
@@ -55,7 +55,7 @@
    * Asks the replicas in turn until one answers. A request that changes
    * something carries an id of its own, so that asking twice does no harm.
    */
-  async ask(call: OperatorCall): Promise<Result<OperatorReply, CliError>> {
+  async request(call: OperatorCall): Promise<Result<OperatorReply, CliError>> {
     const { access } = this.#options;
     if (access.isErr()) {
       return err(access.error);
@@ -63,9 +63,9 @@
     const reasons: string[] = [];
     let advice = "Check --control and that a quorum of the replicas runs";
     for (const replica of this.#options.replicas) {
-      const reply = await this.askOne(replica, call);
+      const reply = await this.requestFrom(replica, call);
       if (reply.isOk() && reply.value.status === 401) {
-        return err(createDenial(replica, reply.value));
+        return err(createDeniedError(replica, reply.value));
       }
       if (reply.isOk() && reply.value.status !== 503) {
         return ok(reply.value);
@@ -87,7 +87,7 @@
   }
 
   /** Asks one process. */
-  async askOne(
+  async requestFrom(
     address: string,
     call: OperatorCall,
   ): Promise<Result<OperatorReply, CallFailure>> {
@@ -101,7 +101,7 @@
       const { statusCode, body } = await request(
         `${formatOrigin(address, isTls)}${call.path}`,
         {
-          dispatcher: this.#findAgent(authority),
+          dispatcher: this.#getAgent(authority),
           method: call.method,
           headers: {
             "content-type": "application/json",
@@ -109,7 +109,7 @@
             ...createAuthorization(call, token),
           },
           body: call.body === undefined ? null : JSON.stringify(call.body),
-          signal: AbortSignal.timeout(call.timeoutMs ?? TIMEOUT_MS),
+          signal: AbortSignal.timeout(call.timeoutMs ?? DEFAULT_TIMEOUT_MS),
         },
       );
       return ok({ status: statusCode, body: await body.json() });
@@ -118,7 +118,7 @@
     }
   }
 
-  #findAgent(authority: string | undefined): Agent {
+  #getAgent(authority: string | undefined): Agent {
     const trust = authority === undefined ? undefined : { authority };
     this.#agent ??= new Agent({ connect: createConnector(trust) });
     return this.#agent;
@@ -135,7 +135,7 @@
     : { authorization: `Bearer ${token}` };
 }
 
-function createDenial(replica: string, reply: OperatorReply): CliError {
+function createDeniedError(replica: string, reply: OperatorReply): CliError {
   return createCliError({
     exitCode: EXIT_CODES.denied,
     message: `${replica}: ${readMessage(reply)}`,
--- a/src/cli/timeline_page.ts
+++ b/src/cli/timeline_page.ts
@@ -24,7 +24,7 @@
 `;
 
 /** Event types that are drawn as trouble. */
-const TROUBLE: ReadonlySet<string> = new Set([
+const FAILURE_EVENTS: ReadonlySet<string> = new Set([
   "AttemptRefused",
   "BackendCrashed",
   "EditRefused",
@@ -75,7 +75,7 @@
   const text = Object.entries(details)
     .map(([name, value]) => `${name}=${value}`)
     .join(" ");
-  const mark = TROUBLE.has(type) ? "here bad" : "here";
+  const mark = FAILURE_EVENTS.has(type) ? "here bad" : "here";
   const small = text === "" ? "" : `<small>${escapeHtml(text)}</small>`;
   return `<td class="${mark}">${escapeHtml(type)}${small}</td>`;
 }
