--- a/src/base/common/call_loop.ts
+++ b/src/base/common/call_loop.ts
@@ -5,5 +5,5 @@
   /** Longest time that what is read now may have been there, in milliseconds. */
   readonly lagMs: number;
   /** Runs `run`, where the loop is behind only once what lay unread is read. */
-  readonly runOnceRead: (run: () => void) => void;
+  readonly runAfterPendingReads: (run: () => void) => void;
 }
--- a/src/base/common/first_requests.ts
+++ b/src/base/common/first_requests.ts
@@ -5,5 +5,5 @@
   /** Longest time that a connection read now can have waited, in milliseconds. */
   readonly queuedMs: number;
   /** Runs `run` once that close would have been read; in order of arrival. */
-  readonly hold: (run: () => void) => void;
+  readonly enqueue: (run: () => void) => void;
 }
--- a/src/base/node/first_requests.ts
+++ b/src/base/node/first_requests.ts
@@ -45,12 +45,12 @@
   }
 
   /** Notes that a connection was accepted; more may wait to be. */
-  noteAccepted(): void {
+  recordAccepted(): void {
     this.#hasAccepted = true;
     this.#start();
   }
 
-  hold(run: () => void): void {
+  enqueue(run: () => void): void {
     this.#start();
     this.#queue.push({ run, earliestTurn: this.#turn + CLOSE_READ_TURNS });
   }
--- a/src/base/node/loop_watch.ts
+++ b/src/base/node/loop_watch.ts
@@ -65,12 +65,12 @@
    * Notes that a connection was accepted. The loop accepts one a turn, so more
    * of those that came while it was behind may follow.
    */
-  noteAccepted(): void {
+  recordAccepted(): void {
     this.#hasAccepted = true;
   }
 
   /** Runs `run`, where the loop is behind only once what lay unread is read. */
-  runOnceRead(run: () => void): void {
+  runAfterPendingReads(run: () => void): void {
     if (this.lagMs < LAG_THRESHOLD_MS) {
       run();
     } else {
--- a/src/base/test/first_requests_test.ts
+++ b/src/base/test/first_requests_test.ts
@@ -9,7 +9,7 @@
   readonly ran: string[] = [];
 
   hold(name: string, workMs = 0): void {
-    this.requests.hold(() => {
+    this.requests.enqueue(() => {
       this.ran.push(name);
       this.nowMs += workMs;
     });
@@ -34,7 +34,7 @@
     const loop = new Loop();
     loop.hold("a");
     for (let turn = 0; turn < 5; turn += 1) {
-      loop.requests.noteAccepted();
+      loop.requests.recordAccepted();
       await passTurn();
       loop.nowMs += 1;
     }
@@ -47,7 +47,7 @@
     const loop = new Loop();
     loop.hold("a");
     for (let turn = 0; turn < 12; turn += 1) {
-      loop.requests.noteAccepted();
+      loop.requests.recordAccepted();
       await passTurn();
       loop.nowMs += 1;
     }
@@ -67,7 +67,7 @@
   it("has waited for no longer than each turn accepted a connection", async () => {
     const loop = new Loop();
     for (let turn = 0; turn < 4; turn += 1) {
-      loop.requests.noteAccepted();
+      loop.requests.recordAccepted();
       loop.nowMs += 50;
       await passTurn();
     }
--- a/src/base/test/loop_watch_test.ts
+++ b/src/base/test/loop_watch_test.ts
@@ -46,7 +46,7 @@
     loop.pass(600);
     loop.watch.tick();
     for (let accepted = 0; accepted < 3; accepted += 1) {
-      loop.watch.noteAccepted();
+      loop.watch.recordAccepted();
       await passTurn();
       await passTurn();
       expect(loop.watch.lagMs).to.equal(580);
@@ -62,7 +62,7 @@
     loop.watch.tick();
     loop.pass(590);
     loop.watch.tick();
-    loop.watch.noteAccepted();
+    loop.watch.recordAccepted();
     await passTurn();
     await passTurn();
     expect(loop.watch.lagMs).to.equal(0);
@@ -79,7 +79,7 @@
   it("runs what was read at once, where it is not behind", () => {
     const loop = new Loop();
     let runs = 0;
-    loop.watch.runOnceRead(() => runs += 1);
+    loop.watch.runAfterPendingReads(() => runs += 1);
     expect(runs).to.equal(1);
   });
 
@@ -87,7 +87,7 @@
     const loop = new Loop();
     loop.pass(600);
     let runs = 0;
-    loop.watch.runOnceRead(() => runs += 1);
+    loop.watch.runAfterPendingReads(() => runs += 1);
     await passTurn();
     expect(runs, "while a close may lie unread").to.equal(0);
     await passTurn();
--- a/src/daemon/node_daemon.ts
+++ b/src/daemon/node_daemon.ts
@@ -222,8 +222,8 @@
     return new CallServer({
       loop: this.#watch,
       recordConnection: () => {
-        this.#watch.noteAccepted();
-        this.#firstRequests.noteAccepted();
+        this.#watch.recordAccepted();
+        this.#firstRequests.recordAccepted();
       },
       firstRequests: this.#firstRequests,
       listeners: {
--- a/src/daemon/relay_daemon.ts
+++ b/src/daemon/relay_daemon.ts
@@ -165,8 +165,8 @@
           this.#entry.start(request, service, onResult),
         observeCall: (call) => this.#tree.observe(call, readSteadyMs()),
         recordConnection: () => {
-          this.#loop.noteAccepted();
-          this.#firstRequests.noteAccepted();
+          this.#loop.recordAccepted();
+          this.#firstRequests.recordAccepted();
         },
         firstRequests: this.#firstRequests,
         getCallerService: () => this.#control.announcement.service,
--- a/src/daemon/test/clock_carriers_test.ts
+++ b/src/daemon/test/clock_carriers_test.ts
@@ -67,9 +67,9 @@
       ingress: parseAddress(ingress)!,
     },
     dispatch: (event) => receive(event, calls),
-    loop: { lagMs: 0, runOnceRead: (run) => run() },
+    loop: { lagMs: 0, runAfterPendingReads: (run) => run() },
     recordConnection: () => {},
-    firstRequests: { queuedMs: 0, hold: (run) => run() },
+    firstRequests: { queuedMs: 0, enqueue: (run) => run() },
     connections: 2,
     clock,
   });
--- a/src/engine/call/node/call_server.ts
+++ b/src/engine/call/node/call_server.ts
@@ -348,9 +348,9 @@
       }
     };
     if (this.#caughtUpSockets.has(request.socket)) {
-      loop.runOnceRead(dispatchCall);
+      loop.runAfterPendingReads(dispatchCall);
     } else {
-      firstRequests.hold(dispatchCall);
+      firstRequests.enqueue(dispatchCall);
     }
   }
 }
--- a/src/engine/call/test/whole_answer_test.ts
+++ b/src/engine/call/test/whole_answer_test.ts
@@ -84,9 +84,9 @@
         ingress: parseAddress(await findAddress())!,
       },
       dispatch: (event) => loop.dispatch(event),
-      loop: { lagMs: 0, runOnceRead: (run) => run() },
+      loop: { lagMs: 0, runAfterPendingReads: (run) => run() },
       recordConnection: () => {},
-      firstRequests: { queuedMs: 0, hold: (run) => run() },
+      firstRequests: { queuedMs: 0, enqueue: (run) => run() },
       connections: 4,
     });
     await callServer.open();
--- a/src/engine/relay/node/caller_connection.ts
+++ b/src/engine/relay/node/caller_connection.ts
@@ -72,7 +72,7 @@
       run();
       return;
     }
-    this.#options.firstRequests.hold(() => {
+    this.#options.firstRequests.enqueue(() => {
       this.#hasReadBacklog = true;
       run();
     });
--- a/src/engine/relay/node/entry_calls.ts
+++ b/src/engine/relay/node/entry_calls.ts
@@ -308,7 +308,7 @@
    * for callers that have left.
    */
   #send(call: EntryCall): void {
-    this.#options.loop.runOnceRead(() => {
+    this.#options.loop.runAfterPendingReads(() => {
       if (this.#calls.has(call.id)) {
         this.#sendNow(call);
       }
--- a/src/engine/relay/node/gate_calls.ts
+++ b/src/engine/relay/node/gate_calls.ts
@@ -318,7 +318,7 @@
    */
   #runAfterBacklogRead(call: GateCallState): void {
     call.phase = "admitted";
-    this.#options.loop.runOnceRead(() => {
+    this.#options.loop.runAfterPendingReads(() => {
       if (this.#calls.has(call.id)) {
         this.#runOrRefuse(call);
       }
--- a/src/engine/relay/test/caller_left_test.ts
+++ b/src/engine/relay/test/caller_left_test.ts
@@ -111,7 +111,7 @@
       draw: () => 0,
       getLastRank: () => 0,
       log: { write: () => {} },
-      loop: { lagMs: 0, runOnceRead: (run) => run() },
+      loop: { lagMs: 0, runAfterPendingReads: (run) => run() },
       receiveCallerReport: () => {},
       recordAttempt: () => {},
       recordCallDuration: () => {},
--- a/src/engine/relay/test/caller_server_test.ts
+++ b/src/engine/relay/test/caller_server_test.ts
@@ -132,7 +132,7 @@
       recordConnection: () => {},
       firstRequests: {
         queuedMs: 0,
-        hold: (run) => this.isHolding ? this.held.push(run) : run(),
+        enqueue: (run) => this.isHolding ? this.held.push(run) : run(),
       },
       getCallerService: () => "front",
       readClock: () => performance.now() + this.aheadMs,
--- a/src/engine/relay/test/entry_calls_test.ts
+++ b/src/engine/relay/test/entry_calls_test.ts
@@ -48,7 +48,7 @@
       draw: () => 0,
       getLastRank: () => 0,
       log: { write: () => {} },
-      loop: { lagMs: 0, runOnceRead: (run) => run() },
+      loop: { lagMs: 0, runAfterPendingReads: (run) => run() },
       receiveCallerReport: () => {},
       recordAttempt: () => {},
       recordCallDuration: () => {},
--- a/src/engine/relay/test/gate_calls_test.ts
+++ b/src/engine/relay/test/gate_calls_test.ts
@@ -18,7 +18,7 @@
     dialect: DIALECT,
     readClock,
     log: { write: () => {} },
-    loop: { lagMs: 0, runOnceRead: (run) => run() },
+    loop: { lagMs: 0, runAfterPendingReads: (run) => run() },
     maxConnections: () => 4,
     getObjectiveMs: () => 500,
     recordRun,
--- a/src/engine/relay/test/gate_left_test.ts
+++ b/src/engine/relay/test/gate_left_test.ts
@@ -66,7 +66,7 @@
     dialect: DIALECT,
     readClock: () => this.nowMs,
     log: { write: () => {} },
-    loop: { lagMs: 0, runOnceRead: (run) => run() },
+    loop: { lagMs: 0, runAfterPendingReads: (run) => run() },
     maxConnections: () => 1,
     getObjectiveMs: () => 500,
     recordRun: () => {},
--- a/src/engine/relay/test/lost_answers_test.ts
+++ b/src/engine/relay/test/lost_answers_test.ts
@@ -63,7 +63,7 @@
     dialect: DIALECT,
     readClock,
     log: { write: () => {} },
-    loop: { lagMs: 0, runOnceRead: (run) => run() },
+    loop: { lagMs: 0, runAfterPendingReads: (run) => run() },
     maxConnections: () => SLOTS,
     getObjectiveMs: () => CALL_TIMEOUT_MS,
     recordRun: () => {},
