--- a/src/base/common/call_loop.ts
+++ b/src/base/common/call_loop.ts
@@ -1,9 +1,15 @@
-/** The event loop as calls see it. */
+/** What call handling needs to know of the event loop of its process. */
 
-/** How far it is behind, and how work waits until it no longer is. */
+/** Reports the lag of the event loop and defers work while it lags. */
 export interface CallLoop {
-  /** Longest time that what is read now may have been there, in milliseconds. */
+  /**
+   * Upper bound on how long bytes that are read now have waited in their
+   * sockets, in milliseconds.
+   */
   readonly lagMs: number;
-  /** Runs `run`, where the loop is behind only once what lay unread is read. */
+  /**
+   * Runs `run`: at once, or while the loop lags only after pending bytes and
+   * closes of the sockets have been read.
+   */
   readonly runAfterPendingReads: (run: () => void) => void;
 }
--- a/src/base/common/disposal.ts
+++ b/src/base/common/disposal.ts
@@ -1,6 +1,6 @@
-/** Ownership of several disposable things. */
+/** Ownership of several disposable resources. */
 
-/** Releases what it was given, last acquired first. */
+/** Releases registered resources in reverse order of registration. */
 export class DisposalStack implements AsyncDisposable {
   #releases: (() => PromiseLike<void> | void)[] = [];
 
--- a/src/base/common/first_requests.ts
+++ b/src/base/common/first_requests.ts
@@ -1,9 +1,15 @@
-/** The first requests of connections, as listeners see them. */
+/** Queueing of the first request of each connection, for listeners. */
 
-/** Where they wait until the close that may lie behind them has been read. */
+/**
+ * Queues the first request of each connection until a close by its caller that
+ * follows the request in the socket has been read.
+ */
 export interface FirstRequestQueue {
-  /** Longest time that a connection read now can have waited, in milliseconds. */
+  /**
+   * Upper bound on how long a connection that is accepted now has waited in the
+   * listen backlog, in milliseconds.
+   */
   readonly queuedMs: number;
-  /** Runs `run` once that close would have been read; in order of arrival. */
+  /** Runs `run` once such a close would have been read; first in, first out. */
   readonly enqueue: (run: () => void) => void;
 }
--- a/src/base/common/maps.ts
+++ b/src/base/common/maps.ts
@@ -1,4 +1,4 @@
-/** Copying updates of read-only maps. */
+/** Copy-on-write updates of read-only maps. */
 
 /** Returns a copy of `map` in which `key` is bound to `value`. */
 export function setEntry<K, V>(
@@ -11,7 +11,7 @@
   return copy;
 }
 
-/** Returns `map` without `key`; the same object where `key` is absent. */
+/** Returns a copy of `map` without `key`, or `map` itself if it has no `key`. */
 export function deleteEntry<K, V>(
   map: ReadonlyMap<K, V>,
   key: K,
--- a/src/base/common/reduction.ts
+++ b/src/base/common/reduction.ts
@@ -1,12 +1,12 @@
-/** The shape that every reducer of the system shares. */
+/** The return type that all reducers share, and functions to compose it. */
 
-/** What a reducer returns: the next state, and effects for the I/O layer. */
+/** Result of a reducer: the next state, and effects for the I/O layer. */
 export interface Reduction<S, E> {
   readonly state: S;
   readonly effects: readonly E[];
 }
 
-/** Creates a reduction; `effects` is empty where left out. */
+/** Creates a reduction, without effects by default. */
 export function createReduction<S, E>(
   state: S,
   effects: readonly E[] = [],
@@ -14,7 +14,7 @@
   return { state, effects };
 }
 
-/** Runs `next` on the state of `step` and joins the effects of both. */
+/** Runs `next` on the state of `step` and concatenates the effects of both. */
 export function chainReduction<S, E>(
   step: Reduction<S, E>,
   next: (state: S) => Reduction<S, E>,
@@ -26,7 +26,7 @@
   return { state: rest.state, effects: [...step.effects, ...rest.effects] };
 }
 
-/** Appends effects to a step. */
+/** Returns `step` with `effects` appended to its own. */
 export function appendEffects<S, E>(
   step: Reduction<S, E>,
   ...effects: readonly E[]
--- a/src/base/node/event_loop.ts
+++ b/src/base/node/event_loop.ts
@@ -1,27 +1,28 @@
-/** The one loop of a process: events in, reducer, effects out. */
+/** Event loop that runs a reducer and performs the effects it returns. */
 import type { Reduction } from "../common/reduction.ts";
 
-/** A pure step: `nowMs` is the wall clock in milliseconds. */
+/** Pure reducer; `nowMs` is the time of `readClock`, in milliseconds. */
 export type Reduce<S, Ev, Ef> = (
   state: S,
   event: Ev,
   nowMs: number,
 ) => Reduction<S, Ef>;
 
-/** What an event loop is built from. */
 export interface EventLoopOptions<S, Ev, Ef> {
   readonly initial: S;
   readonly reduce: Reduce<S, Ev, Ef>;
+  /** Returns the current time in milliseconds. */
   readonly readClock: () => number;
-  /** Sees each event before it is reduced. */
+  /** Receives each event before the reducer does. */
   readonly observe?: (event: Ev, nowMs: number) => void;
-  /** Carries one effect out; it may dispatch further events. */
+  /** Performs one effect; may dispatch further events. */
   readonly perform: (effect: Ef) => void;
 }
 
 /**
- * Runs events one at a time, in the order of their dispatch. An event that is
- * dispatched while an effect is performed waits for the current step to end.
+ * Processes events one at a time, in the order of their dispatch. An event that
+ * is dispatched while an effect is performed is queued until the current event
+ * has been processed.
  */
 export class EventLoop<S, Ev, Ef> {
   readonly #options: EventLoopOptions<S, Ev, Ef>;
@@ -34,12 +35,12 @@
     this.#state = options.initial;
   }
 
-  /** The state after the last step. */
+  /** State after the most recent reduction. */
   get state(): S {
     return this.#state;
   }
 
-  /** Queues `event` and runs the queue until it is empty. */
+  /** Enqueues `event` and processes the queue until it is empty. */
   dispatch(event: Ev): void {
     this.#pending.push(event);
     if (this.#isRunning) {
--- a/src/base/node/first_requests.ts
+++ b/src/base/node/first_requests.ts
@@ -1,50 +1,57 @@
 /**
- * Holds the first request of each connection until the close that may lie
- * behind it has been read.
+ * Queues the first request of each connection until a close that follows the
+ * request in the socket has been read.
  *
- * The runtime accepts one connection in each turn of its loop, so in a burst
- * connections wait for as many turns as there are others before them: their
- * callers may have left long before the request is read, and the close is read
- * a turn after it. Accepting therefore goes before the work of held requests,
- * which runs in short slices, so that the sockets are read in between.
+ * The runtime accepts one connection in each turn of the event loop, so in a
+ * burst a connection waits as many turns as there are connections before it.
+ * Its caller may have disconnected long before the request is read, and the
+ * close is read one turn after the request. Accepting connections therefore
+ * takes precedence over running queued requests, which run in short slices so
+ * that sockets are read between slices.
  */
 import type { FirstRequestQueue } from "../common/first_requests.ts";
 
-/** Turns until the close behind a request that was just read has been read. */
+/** Turns of the event loop until a close that follows a request is read. */
 const CLOSE_READ_TURNS = 2;
-/** Longest stretch of turns that only accept, in milliseconds. */
+/** Longest time for which accepting connections delays queued requests. */
 const MAX_ACCEPT_ONLY_MS = 10;
-/** Longest slice of held work in one turn, in milliseconds. */
+/** Time after which a turn of the loop starts no further queued request. */
 const MAX_SLICE_MS = 5;
 
 interface QueuedRequest {
   readonly run: () => void;
-  /** The turn from which on it may run. */
+  /** First turn of the loop in which `run` may be called. */
   readonly earliestTurn: number;
 }
 
-/** Owns the requests that wait for what lies behind them. */
+/** Queue of the first requests of all connections of a process. */
 export class FirstRequests implements FirstRequestQueue {
   readonly #readClock: () => number;
   readonly #queue: QueuedRequest[] = [];
+  /** Turns of the loop counted so far; pauses while not active. */
   #turn = 0;
+  /** Whether an end-of-turn callback is scheduled. */
   #isActive = false;
-  /** Whether a connection was accepted in the present turn. */
+  /** Whether a connection was accepted in the current turn. */
   #hasAccepted = false;
-  /** Since when each turn has accepted a connection. */
+  /** Start of the unbroken series of turns that each accepted a connection. */
   #acceptingSinceMs = 0;
+  /** Time from which queued requests run even if connections are accepted. */
   #acceptOnlyUntilMs = 0;
 
   constructor(readClock: () => number) {
     this.#readClock = readClock;
   }
 
-  /** Longest time that a connection accepted now may have waited. */
+  /**
+   * Upper bound on how long a connection that is accepted now has waited in the
+   * listen backlog, in milliseconds.
+   */
   get queuedMs(): number {
     return this.#isActive ? this.#readClock() - this.#acceptingSinceMs : 0;
   }
 
-  /** Notes that a connection was accepted; more may wait to be. */
+  /** Records that a connection was accepted; the backlog may hold more. */
   recordAccepted(): void {
     this.#hasAccepted = true;
     this.#start();
@@ -65,7 +72,7 @@
     setImmediate(() => this.#endTurn());
   }
 
-  /** Runs after all sockets that have bytes were read once more. */
+  /** Runs after the turn has read every readable socket once. */
   #endTurn(): void {
     this.#turn += 1;
     const nowMs = this.#readClock();
--- a/src/base/node/listen.ts
+++ b/src/base/node/listen.ts
@@ -1,13 +1,13 @@
-/** Addresses in `host:port` form, and listening on them. */
+/** Addresses in the form `host:port`, and servers that listen on them. */
 import type { AddressInfo, Server } from "node:net";
 
-/** Where a server listens. */
+/** Address on which a server listens. */
 export interface ListenAddress {
   readonly host: string;
   readonly port: number;
 }
 
-/** Reads `host:port`; undefined where it isn't one. */
+/** Parses `host:port`; returns undefined if `text` has another form. */
 export function parseAddress(text: string): ListenAddress | undefined {
   const match = /^(\[[0-9a-fA-F:]+\]|[0-9A-Za-z.-]+):(\d{1,5})$/.exec(text);
   if (match === null || Number(match[2]) > 65_535) {
@@ -17,13 +17,13 @@
   return { host, port: Number(match[2]) };
 }
 
-/** Writes an address as `host:port`. */
+/** Formats an address as `host:port`, an IPv6 address in brackets. */
 export function formatAddress(address: ListenAddress): string {
   const host = address.host.includes(":") ? `[${address.host}]` : address.host;
   return `${host}:${address.port}`;
 }
 
-/** Opens a server; resolves with the address that it got. */
+/** Starts listening; resolves with the address, whose port is the bound one. */
 export function listen(
   server: Server,
   address: ListenAddress,
--- a/src/base/node/loop_watch.ts
+++ b/src/base/node/loop_watch.ts
@@ -1,38 +1,42 @@
 /**
- * How far the event loop of this process is behind: bytes that it reads now may
- * have lain in their sockets that long, and what follows them may lie there
- * unread. A request is read a turn before the close of its connection, however
- * long both have been there.
+ * Measures the lag of the event loop of this process. Bytes that are read now
+ * may have waited in their sockets for that long, and bytes that follow them
+ * may still be unread. A request is read one turn before the close of its
+ * connection, however long both have been in the socket.
  */
 
-/** What the watch is built from. */
 export interface LoopWatchOptions {
+  /** Returns the current time in milliseconds. */
   readonly readClock: () => number;
-  /** How often `tick` is called by a timer, in milliseconds. */
+  /** Interval of the timer that calls `tick`, in milliseconds. */
   readonly periodMs: number;
 }
 
 /**
- * From this lag on, in milliseconds, work waits for what lies unread. Work
- * must not begin half a second after its caller has left, and two processes
- * and the ways between them share that.
+ * Lag from which work is deferred until pending bytes have been read. Work must
+ * not start 500 ms after its caller has disconnected; two processes and the
+ * connections between them share those 500 ms.
  */
 const LAG_THRESHOLD_MS = 100;
 /**
- * Turns of the loop until a close that lies behind a request has been read: the
- * rest of the present one, and the next. What comes on a connection is read a
- * turn after it was accepted at the earliest, so the loop is behind as long.
+ * Turns of the loop until a close that follows a request has been read: the
+ * rest of the current turn, and the next. Bytes of a connection are read one
+ * turn after it was accepted at the earliest, so the lag lasts as long.
  */
 const CLOSE_READ_TURNS = 2;
 
-/** Compares when a periodic timer ran with when it was due. */
+/** Derives the lag from how late a periodic timer runs. */
 export class LoopWatch {
   readonly #options: LoopWatchOptions;
   #lastTickMs: number;
-  /** What is read now has come since: the last tick, if that was in time. */
+  /**
+   * Earliest time at which bytes that are read now may have arrived: the last
+   * tick, if that was on time.
+   */
   #oldestArrivalMs: number;
+  /** Whether bytes that arrived during a late tick may still be unread. */
   #isCatchingUp = false;
-  /** Whether a connection was accepted in the present stretch of turns. */
+  /** Whether a connection was accepted since `#catchUp` was last called. */
   #hasAccepted = false;
 
   constructor(options: LoopWatchOptions) {
@@ -41,13 +45,16 @@
     this.#oldestArrivalMs = this.#lastTickMs;
   }
 
-  /** Longest time that what is read now may have been there, beyond a period. */
+  /**
+   * Upper bound on how long bytes that are read now have waited in their
+   * sockets, less one timer period, in milliseconds.
+   */
   get lagMs(): number {
     const { readClock, periodMs } = this.#options;
     return Math.max(0, readClock() - this.#oldestArrivalMs - periodMs);
   }
 
-  /** To be called by the timer. */
+  /** Updates the lag; called by a timer every `periodMs`. */
   tick(): void {
     const { lagMs } = this;
     this.#lastTickMs = this.#options.readClock();
@@ -62,14 +69,14 @@
   }
 
   /**
-   * Notes that a connection was accepted. The loop accepts one a turn, so more
-   * of those that came while it was behind may follow.
+   * Records that a connection was accepted. The loop accepts one in each turn,
+   * so more connections that arrived while it lagged may follow.
    */
   recordAccepted(): void {
     this.#hasAccepted = true;
   }
 
-  /** Runs `run`, where the loop is behind only once what lay unread is read. */
+  /** Runs `run`: at once, or while the loop lags after pending bytes are read. */
   runAfterPendingReads(run: () => void): void {
     if (this.lagMs < LAG_THRESHOLD_MS) {
       run();
@@ -79,8 +86,9 @@
   }
 
   /**
-   * Goes on while connections are accepted, until `endMs` at most: a process
-   * that is slow for long accepts some in each turn, and none of them is old.
+   * Keeps the lag while connections are accepted, until `endMs` at most: a
+   * process that stays slow accepts connections in every turn, although none of
+   * them has waited long.
    */
   #catchUp(endMs: number): void {
     this.#isCatchingUp = true;
@@ -96,7 +104,7 @@
   }
 }
 
-/** Each turn of the loop reads all sockets that have bytes. */
+/** Runs `run` after `turns` turns; each reads all readable sockets. */
 function runAfterTurns(turns: number, run: () => void): void {
   if (turns === 0) {
     run();
--- a/src/base/node/message_codec.ts
+++ b/src/base/node/message_codec.ts
@@ -1,14 +1,13 @@
-/** Tagged messages as msgpack. */
+/** Encoding of tagged messages as msgpack. */
 import { Packr } from "msgpackr";
 
 const PACKR = new Packr({ useRecords: false });
 
-/** Writes a message. */
 export function encodeMessage(message: unknown): Uint8Array {
   return PACKR.pack(message);
 }
 
-/** Reads a message; undefined where the bytes are none. */
+/** Decodes a message; returns undefined for bytes that aren't one. */
 export function decodeMessage<T extends { readonly type: string }>(
   bytes: Uint8Array,
 ): T | undefined {
--- a/src/base/node/shared_ticks.ts
+++ b/src/base/node/shared_ticks.ts
@@ -1,14 +1,15 @@
 /**
- * Periodic work of one process, all on one timer. A wake costs far more than
- * the work that it is for (0.15 ms of a core on a machine that is not busy),
- * and timers of several periods wake a process at different moments: a control
- * replica with four links woke 60 times a second for them.
+ * Runs all periodic tasks of a process on one timer. Waking an idle process
+ * costs far more than a typical task (0.15 ms of a core on an idle machine),
+ * and timers with different periods wake it at different times: with a timer
+ * for each task, a control replica with four links woke 60 times a second.
  */
 
-/** Periods are rounded up to whole steps, in milliseconds. */
+/** Interval of the timer; periods are rounded up to a multiple of it. */
 export const TICK_STEP_MS = 50;
 
 interface PeriodicTask {
+  /** Period, in steps of `TICK_STEP_MS`. */
   readonly steps: number;
   readonly run: () => void;
 }
@@ -17,13 +18,13 @@
 let timer: NodeJS.Timeout | undefined;
 let stepCount = 0;
 
-/** Runs `run` each `periodMs`, together with others; returns what stops it. */
+/** Calls `run` every `periodMs`; returns a function that stops the calls. */
 export function startTicks(periodMs: number, run: () => void): () => void {
-  const tick = { steps: Math.max(1, Math.ceil(periodMs / TICK_STEP_MS)), run };
-  tasks.add(tick);
+  const task = { steps: Math.max(1, Math.ceil(periodMs / TICK_STEP_MS)), run };
+  tasks.add(task);
   timer ??= setInterval(runStep, TICK_STEP_MS);
   return () => {
-    tasks.delete(tick);
+    tasks.delete(task);
     if (tasks.size === 0) {
       clearInterval(timer);
       timer = undefined;
--- a/src/base/node/steady_clock.ts
+++ b/src/base/node/steady_clock.ts
@@ -1,18 +1,18 @@
-/** A clock that steps of the wall clock don't move. */
+/** A clock that adjustments of the wall clock don't affect. */
 import { performance } from "node:perf_hooks";
 
 /**
- * Reads the wall clock as of the start of the process plus the time that has
- * passed since, in whole milliseconds: deadlines, windows and the age of what
- * is remembered stay right when the wall clock is set.
+ * Returns the wall-clock time at which the process started plus the time
+ * elapsed since, in whole milliseconds. Deadlines, time windows and the age of
+ * stored entries stay correct when the wall clock is adjusted.
  */
 export function readSteadyMs(): number {
   return Math.floor(performance.timeOrigin + performance.now());
 }
 
 /**
- * Reads the steady clock and the wall clock together: the one stands still
- * while the VM is suspended, the other may be stepped.
+ * Reads the steady clock and the wall clock together. The steady clock stops
+ * while the VM is suspended; the wall clock may be adjusted.
  */
 export function readBothClocks() {
   return { steadyMs: readSteadyMs(), wallMs: Date.now() };
--- a/src/base/node/tls.ts
+++ b/src/base/node/tls.ts
@@ -1,4 +1,4 @@
-/** TLS by Node's own library: keys, and options for servers and for clients. */
+/** TLS keys, and HTTP servers, connectors and sockets that use them. */
 import { createPrivateKey, X509Certificate } from "node:crypto";
 import { readFileSync } from "node:fs";
 import { createServer as createHttpServer } from "node:http";
@@ -8,44 +8,47 @@
 import { buildConnector } from "undici";
 import type { ClientOptions } from "ws";
 
-/** What a process presents, and whom it trusts; all in PEM. */
+/** Certificate and key of a process and the authority it trusts, as PEM. */
 export interface TlsKeys {
   readonly certificate: string;
   readonly key: string;
-  /** Issuer of the certificates that are taken. */
+  /** Certificate of the issuer whose certificates are accepted. */
   readonly authority: string;
 }
 
-/** Names of the three files. */
+/** Paths of the files that hold the keys. */
 export type TlsFiles = Readonly<Record<keyof TlsKeys, string>>;
 
-/** Why a file can't be used. */
+/** The file that can't be used, and the reason. */
 export interface TlsFault {
   readonly name: keyof TlsKeys;
   readonly reason: string;
 }
 
-/** How a client proves itself; without a key it stays unnamed. */
+/**
+ * Trusted authority of a client, and the certificate it authenticates with.
+ * Without certificate and key, the client is anonymous.
+ */
 export type TlsTrust =
   & Pick<TlsKeys, "authority">
   & Partial<Pick<TlsKeys, "certificate" | "key">>;
 
-/** Opens the connections of undici's clients. */
+/** Function that opens connections for undici clients. */
 export type Connector = buildConnector.connector;
 
 const HANDSHAKE_TIMEOUT_MS = 10_000;
 
-/** Reads the three files and checks that each is what it should be. */
+/** Reads and validates the files, and checks that key and certificate match. */
 export function readTlsKeys(files: TlsFiles): Result<TlsKeys, TlsFault> {
-  const found: { -readonly [Name in keyof TlsKeys]?: string } = {};
+  const pems: { -readonly [Name in keyof TlsKeys]?: string } = {};
   for (const name of ["certificate", "key", "authority"] as const) {
     const text = readPem(files[name], PEM_CHECKS[name]);
     if (text.isErr()) {
       return err({ name, reason: `${files[name]}: ${text.error}` });
     }
-    found[name] = text.value;
+    pems[name] = text.value;
   }
-  const keys = found as TlsKeys;
+  const keys = pems as TlsKeys;
   const isPair = new X509Certificate(keys.certificate)
     .checkPrivateKey(createPrivateKey(keys.key));
   return isPair ? ok(keys) : err({
@@ -54,14 +57,14 @@
   });
 }
 
-/** Reads a file with the certificate of an authority. */
+/** Reads and validates the certificate of an authority. */
 export function readAuthority(file: string): Result<string, string> {
   return readPem(file, PEM_CHECKS.authority);
 }
 
 /**
- * Creates an HTTP server: plain without keys. With `isMutual` it takes only
- * clients whose certificate is of the authority.
+ * Creates an HTTPS server, or without keys an HTTP server. With `isMutual`, the
+ * HTTPS server accepts only clients with a certificate of the authority.
  */
 export function createServer(
   options: ServerOptions & {
@@ -86,8 +89,8 @@
 }
 
 /**
- * Creates what opens undici's connections. An error that it raises is marked
- * as one of `connect`: no byte of a request was written.
+ * Creates a connector for undici clients. Its errors get the `syscall`
+ * `connect` if they have none, which says that no byte of a request was written.
  */
 export function createConnector(
   tls: TlsTrust | undefined,
@@ -107,23 +110,24 @@
     });
 }
 
-/** Creates the options of a WebSocket client. */
+/** Creates the TLS options of a WebSocket client. */
 export function createSocketOptions(tls: TlsTrust | undefined): ClientOptions {
-  // The type of `ws` has a boolean where Node expects an error or undefined.
+  // `ws` types the result of `checkServerIdentity` as a boolean; Node expects
+  // an error or undefined.
   return tls === undefined
     ? {}
     : createClientOptions(tls) as unknown as ClientOptions;
 }
 
-/** Writes the origin of an address, as `http://host:port`. */
+/** Formats an origin as `http://host:port` or `https://host:port`. */
 export function formatOrigin(address: string, isTls: boolean): string {
   return `${isTls ? "https" : "http"}://${address}`;
 }
 
 /**
- * The chain is verified up to the authority, and only to it. Names aren't
- * compared: processes are reached by IP addresses that change, and whoever
- * holds a key of the authority belongs to the system.
+ * Creates options that trust only certificates of the authority. Host names are
+ * not verified: processes are reached by IP addresses that change, and every
+ * holder of a key certified by the authority belongs to the system.
  */
 function createClientOptions({ authority, certificate, key }: TlsTrust) {
   return {
@@ -151,7 +155,7 @@
   new X509Certificate(text);
 }
 
-/** A file that is no PEM makes Node's parsers throw. */
+/** Reads a PEM file; `check` throws if the text is invalid. */
 function readPem(
   file: string,
   check: (text: string) => void,
