--- a/src/base/test/bench_figures_test.ts
+++ b/src/base/test/bench_figures_test.ts
@@ -29,8 +29,8 @@
   return { kind, arrivedAtMs, endedAtMs, result, sends: 1, lagMs: 0 };
 }
 
-/** One request every 10 ms; those in the span are refused. */
-function createTrace(
+/** Creates one outcome every 10 ms; those within `refused` are refused. */
+function createOutcomes(
   endMs: number,
   refused: { readonly fromMs: number; readonly toMs: number },
 ): readonly RootOutcome[] {
@@ -41,7 +41,7 @@
   });
 }
 
-describe("figures of the benches", () => {
+describe("metrics of the benchmarks", () => {
   it("plans the same Poisson arrivals from the same seed", () => {
     const phases = [
       { durationMs: 10_000, perSecond: 100 },
@@ -78,31 +78,33 @@
     expect(computePercentile([], 0.5)).to.be.NaN;
   });
 
-  it("counts whole answers alone as goodput", () => {
-    const trace = createTrace(2_000, { fromMs: 1_000, toMs: 1_500 });
+  it("counts only complete answers as goodput", () => {
+    const outcomes = createOutcomes(2_000, { fromMs: 1_000, toMs: 1_500 });
     const span = { fromMs: 1_000, toMs: 2_000 };
-    expect(computeGoodput(trace, span)).to.be.within(49, 51);
+    expect(computeGoodput(outcomes, span)).to.be.within(49, 51);
   });
 
-  it("finds when the goodput is back for a whole second", () => {
-    const before = { fromMs: 0, toMs: 1_000 };
-    const after = { fromMs: 2_000, toMs: 5_000 };
-    const recovered = createTrace(5_000, { fromMs: 1_000, toMs: 2_400 });
-    expect(computeRecoveryMs(recovered, before, after)).to.equal(400);
-    const never = createTrace(5_000, { fromMs: 1_000, toMs: 5_000 });
-    expect(computeRecoveryMs(never, before, after)).to.equal(undefined);
-    const atOnce = createTrace(5_000, { fromMs: 1_000, toMs: 2_000 });
-    expect(computeRecoveryMs(atOnce, before, after)).to.equal(0);
+  it("finds when goodput has recovered for one second", () => {
+    const baseline = { fromMs: 0, toMs: 1_000 };
+    const window = { fromMs: 2_000, toMs: 5_000 };
+    const recovered = createOutcomes(5_000, { fromMs: 1_000, toMs: 2_400 });
+    expect(computeRecoveryMs(recovered, baseline, window)).to.equal(400);
+    const unrecovered = createOutcomes(5_000, { fromMs: 1_000, toMs: 5_000 });
+    expect(computeRecoveryMs(unrecovered, baseline, window)).to.equal(
+      undefined,
+    );
+    const immediate = createOutcomes(5_000, { fromMs: 1_000, toMs: 2_000 });
+    expect(computeRecoveryMs(immediate, baseline, window)).to.equal(0);
   });
 
-  it("does not take a short good spell for a recovery", () => {
-    const before = { fromMs: 0, toMs: 1_000 };
-    const after = { fromMs: 2_000, toMs: 5_000 };
-    const trace = createTrace(5_000, { fromMs: 2_500, toMs: 3_000 });
-    expect(computeRecoveryMs(trace, before, after)).to.equal(1_000);
+  it("does not treat a short interval of good service as recovery", () => {
+    const baseline = { fromMs: 0, toMs: 1_000 };
+    const window = { fromMs: 2_000, toMs: 5_000 };
+    const outcomes = createOutcomes(5_000, { fromMs: 2_500, toMs: 3_000 });
+    expect(computeRecoveryMs(outcomes, baseline, window)).to.equal(1_000);
   });
 
-  it("counts important refusals beside a served unimportant request", () => {
+  it("counts important requests refused while an unimportant one was served", () => {
     const ranks = [
       { kind: "lookup", isImportant: false, service: "shop" },
       { kind: "photo", isImportant: false, service: "photos" },
@@ -146,7 +148,10 @@
     expect(computeCapacity(workload)).to.equal(capacity);
     expect(computeRunsPerRoot(workload)).to.equal(1.5);
     expect(computeIdealGoodput(workload, capacity)).to.equal(capacity);
-    const crowded = computeIdealGoodput(workload, 2 * capacity);
-    expect(crowded).to.be.closeTo(slots * 1_000 / 30 + slots * 1_000 / 60, 1);
+    const atOverload = computeIdealGoodput(workload, 2 * capacity);
+    expect(atOverload).to.be.closeTo(
+      slots * 1_000 / 30 + slots * 1_000 / 60,
+      1,
+    );
   });
 });
--- a/src/base/test/first_requests_test.ts
+++ b/src/base/test/first_requests_test.ts
@@ -1,16 +1,19 @@
-/** First requests of connections, and the closes that lie behind them. */
+/**
+ * Guards against work on a request whose caller has already disconnected: the
+ * close follows the request in the socket and is read one turn after it.
+ */
 import { expect } from "chai";
 import { FirstRequests } from "../node/first_requests.ts";
 
-/** A loop whose clock goes on only where the test says so. */
+/** A queue with a clock that only the test advances. */
 class Loop {
   nowMs = 1_000;
   readonly requests = new FirstRequests(() => this.nowMs);
-  readonly ran: string[] = [];
+  readonly completed: string[] = [];
 
-  hold(name: string, workMs = 0): void {
+  enqueue(name: string, workMs = 0): void {
     this.requests.enqueue(() => {
-      this.ran.push(name);
+      this.completed.push(name);
       this.nowMs += workMs;
     });
   }
@@ -23,48 +26,48 @@
 describe("the first request of a connection", () => {
   it("goes on only once a close behind it has been read", async () => {
     const loop = new Loop();
-    loop.hold("a");
+    loop.enqueue("a");
     await passTurn();
-    expect(loop.ran, "while a close may lie unread").to.deep.equal([]);
+    expect(loop.completed, "while a close may be unread").to.deep.equal([]);
     await passTurn();
-    expect(loop.ran).to.deep.equal(["a"]);
+    expect(loop.completed).to.deep.equal(["a"]);
   });
 
-  it("waits while connections are accepted, so that none waits long", async () => {
+  it("waits while connections are accepted", async () => {
     const loop = new Loop();
-    loop.hold("a");
+    loop.enqueue("a");
     for (let turn = 0; turn < 5; turn += 1) {
       loop.requests.recordAccepted();
       await passTurn();
       loop.nowMs += 1;
     }
-    expect(loop.ran).to.deep.equal([]);
+    expect(loop.completed).to.deep.equal([]);
     await passTurn();
-    expect(loop.ran).to.deep.equal(["a"]);
+    expect(loop.completed).to.deep.equal(["a"]);
   });
 
-  it("doesn't wait for connections that never end", async () => {
+  it("runs although connections are accepted in every turn", async () => {
     const loop = new Loop();
-    loop.hold("a");
+    loop.enqueue("a");
     for (let turn = 0; turn < 12; turn += 1) {
       loop.requests.recordAccepted();
       await passTurn();
       loop.nowMs += 1;
     }
-    expect(loop.ran).to.deep.equal(["a"]);
+    expect(loop.completed).to.deep.equal(["a"]);
   });
 
-  it("is run in slices with reads between, in order of arrival", async () => {
+  it("runs in slices with socket reads between, in order of arrival", async () => {
     const loop = new Loop();
-    ["a", "b", "c", "d"].forEach((name) => loop.hold(name, 3));
+    ["a", "b", "c", "d"].forEach((name) => loop.enqueue(name, 3));
     await passTurn();
     await passTurn();
-    expect(loop.ran).to.deep.equal(["a", "b"]);
+    expect(loop.completed).to.deep.equal(["a", "b"]);
     await passTurn();
-    expect(loop.ran).to.deep.equal(["a", "b", "c", "d"]);
+    expect(loop.completed).to.deep.equal(["a", "b", "c", "d"]);
   });
 
-  it("has waited for no longer than each turn accepted a connection", async () => {
+  it("has waited at most while every turn accepted a connection", async () => {
     const loop = new Loop();
     for (let turn = 0; turn < 4; turn += 1) {
       loop.requests.recordAccepted();
--- a/src/base/test/loop_watch_test.ts
+++ b/src/base/test/loop_watch_test.ts
@@ -1,9 +1,13 @@
-/** How far a loop is behind, as seen by what it reads. */
+/**
+ * Guards against a wrong lag: if too high, work is deferred without need; if
+ * too low, work starts for callers that have already disconnected.
+ */
 import { expect } from "chai";
 import { LoopWatch } from "../node/loop_watch.ts";
 
 const PERIOD_MS = 20;
 
+/** A watch with a clock that only the test advances. */
 class Loop {
   nowMs = 1_000;
   readonly watch = new LoopWatch({
@@ -11,8 +15,8 @@
     periodMs: PERIOD_MS,
   });
 
-  pass(lengthMs: number): void {
-    this.nowMs += lengthMs;
+  advance(durationMs: number): void {
+    this.nowMs += durationMs;
   }
 }
 
@@ -20,30 +24,30 @@
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-describe("a loop", () => {
-  it("that runs its timers in time is not behind", () => {
+describe("the event loop", () => {
+  it("has no lag while its timers run on time", () => {
     const loop = new Loop();
-    loop.pass(PERIOD_MS);
+    loop.advance(PERIOD_MS);
     loop.watch.tick();
-    loop.pass(PERIOD_MS - 5);
+    loop.advance(PERIOD_MS - 5);
     expect(loop.watch.lagMs).to.equal(0);
   });
 
-  it("is behind through the two turns that follow a long one, and no longer", async () => {
+  it("lags for exactly the two turns that follow a long one", async () => {
     const loop = new Loop();
-    loop.pass(600);
+    loop.advance(600);
     expect(loop.watch.lagMs, "within the long turn").to.equal(580);
     loop.watch.tick();
-    expect(loop.watch.lagMs, "where sockets are read").to.equal(580);
+    expect(loop.watch.lagMs, "when sockets are read").to.equal(580);
     await passTurn();
     expect(loop.watch.lagMs, "a turn later").to.equal(580);
     await passTurn();
     expect(loop.watch.lagMs).to.equal(0);
   });
 
-  it("stays behind while connections come out of the listener's queue", async () => {
+  it("keeps its lag while connections of the listen backlog are accepted", async () => {
     const loop = new Loop();
-    loop.pass(600);
+    loop.advance(600);
     loop.watch.tick();
     for (let accepted = 0; accepted < 3; accepted += 1) {
       loop.watch.recordAccepted();
@@ -56,11 +60,11 @@
     expect(loop.watch.lagMs).to.equal(0);
   });
 
-  it("doesn't stay behind longer than it was, whoever connects", async () => {
+  it("lags no longer than the long turn took, whoever connects", async () => {
     const loop = new Loop();
-    loop.pass(600);
+    loop.advance(600);
     loop.watch.tick();
-    loop.pass(590);
+    loop.advance(590);
     loop.watch.tick();
     loop.watch.recordAccepted();
     await passTurn();
@@ -68,28 +72,28 @@
     expect(loop.watch.lagMs).to.equal(0);
   });
 
-  it("forgets at once a lag within which nobody has left for long", () => {
+  it("drops a lag below the threshold at the next tick", () => {
     const loop = new Loop();
-    loop.pass(90);
+    loop.advance(90);
     expect(loop.watch.lagMs).to.equal(70);
     loop.watch.tick();
     expect(loop.watch.lagMs).to.equal(0);
   });
 
-  it("runs what was read at once, where it is not behind", () => {
+  it("runs work at once while it doesn't lag", () => {
     const loop = new Loop();
     let runs = 0;
     loop.watch.runAfterPendingReads(() => runs += 1);
     expect(runs).to.equal(1);
   });
 
-  it("runs what was read two turns later, where it is behind", async () => {
+  it("runs work two turns later while it lags", async () => {
     const loop = new Loop();
-    loop.pass(600);
+    loop.advance(600);
     let runs = 0;
     loop.watch.runAfterPendingReads(() => runs += 1);
     await passTurn();
-    expect(runs, "while a close may lie unread").to.equal(0);
+    expect(runs, "while a close may be unread").to.equal(0);
     await passTurn();
     expect(runs).to.equal(1);
   });
--- a/src/base/test/seeded_random.ts
+++ b/src/base/test/seeded_random.ts
@@ -1,9 +1,9 @@
-/** Random numbers that replay by their seed. */
+/** Random numbers that are reproducible from a seed. */
 
-/** Draws a number from 0 to 1, 1 left out. */
+/** Returns a number from 0 (inclusive) to 1 (exclusive). */
 export type Random = () => number;
 
-/** Creates a generator (mulberry32, public domain). */
+/** Creates a generator (mulberry32, public domain) with a 32-bit seed. */
 export function createRandom(seed: number): Random {
   let state = seed;
   return () => {
--- a/src/base/test/snapshot.ts
+++ b/src/base/test/snapshot.ts
@@ -1,4 +1,4 @@
-/** Snapshots for mocha tests, kept beside them by jest-snapshot. */
+/** Snapshots for mocha tests, stored by jest-snapshot next to the test file. */
 import { existsSync } from "node:fs";
 import { dirname, join, relative } from "node:path";
 import process from "node:process";
@@ -12,7 +12,7 @@
 export class Snapshots {
   readonly #state: SnapshotState;
 
-  /** `testFile` is the `import.meta.url` of the test; call it at top level. */
+  /** `testFile`: `import.meta.url` of the test. Construct at top level. */
   constructor(testFile: string) {
     const built = relative(join(ROOT, "out"), fileURLToPath(testFile));
     const source = join(ROOT, built.replace(/\.js$/, ".snap"));
@@ -27,7 +27,7 @@
     });
   }
 
-  /** Fails where `received` differs from the snapshot called `testName`. */
+  /** Throws if `received` differs from the snapshot named `testName`. */
   match(testName: string, received: unknown): void {
     const result = this.#state.match({
       testName,
