--- a/src/cli/call_failure.ts
+++ b/src/cli/call_failure.ts
@@ -1,13 +1,13 @@
-/** Why an operator's listener couldn't be asked, and what to do about it. */
+/** Descriptions of failed requests to operator listeners, with advice. */
 
-/** A request that brought no answer. */
+/** Failure of a request that got no usable answer. */
 export interface CallFailure {
   readonly reason: string;
-  /** Undefined where nothing more is known than that it failed. */
+  /** What the operator can do; undefined if the cause is unknown. */
   readonly advice: string | undefined;
 }
 
-/** Codes by which OpenSSL tells that a certificate isn't of the authority. */
+/** Error codes of OpenSSL for a certificate not issued by the authority. */
 const UNTRUSTED_CODES: readonly string[] = [
   "CERT_SIGNATURE_FAILURE",
   "DEPTH_ZERO_SELF_SIGNED_CERT",
@@ -16,18 +16,19 @@
   "UNABLE_TO_GET_ISSUER_CERT_LOCALLY",
   "UNABLE_TO_VERIFY_LEAF_SIGNATURE",
 ];
-/** Codes of a connection that ended under a request. */
+/** Error codes of a connection that closed before the answer was complete. */
 const CLOSED_CODES: readonly string[] = [
   "ECONNRESET",
   "EPIPE",
   "UND_ERR_SOCKET",
 ];
+/** Error codes of a TLS handshake with a server that speaks plain HTTP. */
 const PLAINTEXT_CODES: readonly string[] = [
   "ERR_SSL_WRONG_VERSION_NUMBER",
   "ERR_SSL_PACKET_LENGTH_TOO_LONG",
 ];
 
-/** Turns an error of a request into what an operator can act on. */
+/** Converts an error of a request to a reason and advice for the operator. */
 export function describeFailure(error: unknown, isTls: boolean): CallFailure {
   const { code, message } = error as { code?: string; message: string };
   const reason = code ?? message;
--- a/src/cli/cli_error.ts
+++ b/src/cli/cli_error.ts
@@ -1,16 +1,16 @@
-/** Errors of the command line: what went wrong and what to do next. */
+/** Errors of the command line. */
 import type { ExitCode } from "./exit_codes.ts";
 
-/** An error that ends a command. */
+/** Error that ends a command. */
 export interface CliError {
   readonly type: "CliError";
   readonly exitCode: ExitCode;
+  /** What failed, and why. */
   readonly message: string;
-  /** What the operator can do. */
+  /** What the operator can do next. */
   readonly advice: string;
 }
 
-/** Creates a command's error. */
 export function createCliError(parts: Omit<CliError, "type">): CliError {
   return { type: "CliError", ...parts };
 }
--- a/src/cli/command_context.ts
+++ b/src/cli/command_context.ts
@@ -1,4 +1,4 @@
-/** What every command is given, and how its result ends the process. */
+/** Context that every command gets, and the handling of its result. */
 import { userInfo } from "node:os";
 import process from "node:process";
 import type { Command } from "commander";
@@ -10,18 +10,20 @@
 
 /** Options that all commands share. */
 export interface GlobalOptions extends AccessOptions {
+  /** Operator addresses of the control replicas, separated by commas. */
   readonly control: string;
+  /** Name of the operator, sent with each request. */
   readonly operator: string;
   readonly json: boolean;
 }
 
-/** The client and the options of one command. */
+/** Client and output format of one command. */
 export interface CommandContext {
   readonly client: OperatorClient;
   readonly isJson: boolean;
 }
 
-/** Creates the context from the options given before or after a command. */
+/** Creates the context from options before or after the command name. */
 export function createContext(command: Command): CommandContext {
   const options = command.optsWithGlobals<GlobalOptions>();
   const replicas = options.control.split(",").map((part) => part.trim());
@@ -33,7 +35,7 @@
   };
 }
 
-/** Ends a command: an error is printed with what to do next. */
+/** Prints the error of a failed command and sets the exit code. */
 export function finishCommand(result: Result<void, CliError>): void {
   if (result.isErr()) {
     const { message, advice, exitCode } = result.error;
@@ -42,7 +44,7 @@
   }
 }
 
-/** The name that goes into the history where none is given. */
+/** Reads the name of the current user, the default of `--operator`. */
 export function readUserName(): string {
   try {
     return userInfo().username;
--- a/src/cli/commands/drain.ts
+++ b/src/cli/commands/drain.ts
@@ -1,4 +1,4 @@
-/** `basilpin drain`: takes a backend server out of work. */
+/** `basilpin drain`: stops sending new work to a backend server. */
 import type { Command } from "commander";
 import { err, ok, type Result } from "neverthrow";
 import { createCliError } from "../cli_error.ts";
@@ -9,7 +9,7 @@
 import { readMessage } from "../operator_client.ts";
 import { writeJson, writeLine } from "../output.ts";
 
-/** Adds the drain command. */
+/** Registers the `drain` command. */
 export function registerDrain(program: Command): void {
   program.command("drain")
     .description("send a backend server no new work")
--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -1,4 +1,4 @@
-/** `basilpin explain`: what the collected logs say of one request. */
+/** `basilpin explain`: explains the outcome of one request from logs. */
 import { readFileSync } from "node:fs";
 import type { Command } from "commander";
 import { err, ok, type Result } from "neverthrow";
@@ -13,7 +13,7 @@
 import { EXIT_CODES } from "../exit_codes.ts";
 import { writeColumns, writeJson, writeLine } from "../output.ts";
 
-/** Adds the command. */
+/** Registers the `explain` command. */
 export function registerExplain(program: Command): void {
   program.command("explain")
     .description("why a request was refused or failed, from collected logs")
@@ -78,23 +78,23 @@
     const reason = String(cause.inputs["reason"] ?? "no reason given");
     writeLine(`Cause: ${reason} (${cause.event} at ${cause.process})`);
   }
-  const isDecision = new Set(decisions);
+  const decisionSet = new Set(decisions);
   const records = [...decisions, ...changes]
     .sort((a, b) => a.timeMs - b.timeMs);
   writeColumns(
     ["time", "", "process", "event", "inputs"],
     records.map((record) =>
-      createRow(record, isDecision.has(record) ? "*" : "")
+      createRow(record, decisionSet.has(record) ? "*" : "")
     ),
   );
 }
 
 function createRow(record: LogRecord, mark: string): readonly string[] {
   const { timeMs, process, event, inputs } = record;
-  const shown = Object.entries(inputs)
+  const inputTexts = Object.entries(inputs)
     .map(([name, value]) => `${name}=${formatValue(value)}`);
   const time = new Date(timeMs).toISOString().slice(11, 23);
-  return [time, mark, process, event, shown.join(" ")];
+  return [time, mark, process, event, inputTexts.join(" ")];
 }
 
 function formatValue(value: unknown): string {
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -1,4 +1,4 @@
-/** `basilpin status`: nodes, control replicas, versions in force. */
+/** `basilpin status`: lists nodes, control replicas and table versions. */
 import type { Command } from "commander";
 import type { Result } from "neverthrow";
 import type { ClusterReport } from "../../engine/control/common/cluster_report.ts";
@@ -9,14 +9,14 @@
 import { IN_MEMORY_READ_TIMEOUT_MS } from "../operator_client.ts";
 import { writeColumns, writeJson, writeLine } from "../output.ts";
 
-/** What a control replica answers. */
+/** Answer of a control replica to `GET /status`. */
 export interface StatusAnswer extends ControlReport {
   readonly cluster: ClusterReport;
   readonly id: string;
   readonly dataCentre: string;
 }
 
-/** Adds the status command. */
+/** Registers the `status` command. */
 export function registerStatus(program: Command): void {
   program.command("status")
     .description("nodes, control replicas and the versions in force")
--- a/src/cli/commands/table.ts
+++ b/src/cli/commands/table.ts
@@ -1,4 +1,4 @@
-/** `basilpin table`: get, apply, edit and history. */
+/** `basilpin table`: prints and edits the table, and lists its history. */
 import { randomUUID } from "node:crypto";
 import { readFileSync } from "node:fs";
 import process from "node:process";
@@ -26,11 +26,13 @@
 import { waitInForce } from "./wait_in_force.ts";
 
 interface EditOptions {
+  /** Whether to return only once all live nodes have confirmed the edit. */
   readonly wait?: boolean;
+  /** Id of an earlier edit to send again; a new id by default. */
   readonly editId?: string;
 }
 
-/** Adds the table commands. */
+/** Registers the `table` commands. */
 export function registerTable(program: Command): void {
   const table = program.command("table").description("the operators' table");
   table.command("get")
@@ -78,11 +80,11 @@
 async function getTable(
   context: CommandContext,
 ): Promise<Result<void, CliError>> {
-  const table = await fetchTable(context);
-  return table.map((found) =>
+  const reply = await fetchTable(context);
+  return reply.map((table) =>
     context.isJson
-      ? writeJson(found)
-      : void process.stdout.write(formatTableCsv(found))
+      ? writeJson(table)
+      : void process.stdout.write(formatTableCsv(table))
   );
 }
 
@@ -118,9 +120,11 @@
   if (table.isErr()) {
     return err(table.error);
   }
-  const row = table.value.rows.find((found) => found.kind === kind);
+  const row = table.value.rows.find((candidate) => candidate.kind === kind);
   if (row === undefined) {
-    const kinds = table.value.rows.map((found) => found.kind).join(", ");
+    const kinds = table.value.rows.map((candidate) => candidate.kind).join(
+      ", ",
+    );
     return err(createCliError({
       exitCode: EXIT_CODES.usage,
       message: `No row ${JSON.stringify(kind)}`,
@@ -183,18 +187,18 @@
     return err(createConflictError(outcome));
   }
   const isNew = outcome.type === "EditAccepted";
-  const said = isNew ? "accepted" : "no change";
+  const resultText = isNew ? "accepted" : "no change";
   if (context.isJson) {
     writeJson({ editId, ...outcome });
   } else {
-    writeLine(`Version ${outcome.version}: ${said}`);
+    writeLine(`Version ${outcome.version}: ${resultText}`);
   }
   return options.wait === true
     ? await waitInForce(context, outcome.version)
     : ok(undefined);
 }
 
-/** Only of an edit that may have arrived the outcome is unknown. */
+/** Adds how to retry if the edit may have arrived with unknown outcome. */
 function addRetryAdvice(error: CliError, editId: string): CliError {
   const { exitCode, advice } = error;
   return exitCode === EXIT_CODES.unreachable
@@ -228,25 +232,25 @@
 function parseCells(
   cells: readonly string[],
 ): Result<Readonly<Record<string, string>>, CliError> {
-  const known: readonly string[] = TABLE_COLUMNS;
+  const columns: readonly string[] = TABLE_COLUMNS;
   const changes: Record<string, string> = {};
   for (const cell of cells) {
-    const end = cell.indexOf("=");
-    const column = cell.slice(0, Math.max(0, end));
-    if (!known.includes(column) || column === "version") {
+    const separatorIndex = cell.indexOf("=");
+    const column = cell.slice(0, Math.max(0, separatorIndex));
+    if (!columns.includes(column) || column === "version") {
       return err(createCliError({
         exitCode: EXIT_CODES.usage,
         message: `${JSON.stringify(cell)} is not column=value`,
         advice: `Columns are: ${TABLE_COLUMNS.slice(0, -1).join(", ")}`,
       }));
     }
-    changes[column] = cell.slice(end + 1);
+    changes[column] = cell.slice(separatorIndex + 1);
   }
   return ok(changes);
 }
 
-function createFileError(file: string, bad: readonly BadCell[]): CliError {
-  const lines = bad.map((cell) =>
+function createFileError(file: string, badCells: readonly BadCell[]): CliError {
+  const lines = badCells.map((cell) =>
     `${file}:${cell.line}: ${cell.column}: ${cell.reason}`
   );
   return createCliError({
@@ -260,10 +264,10 @@
   outcome: Extract<EditOutcome, { type: "EditConflicted" }>,
 ): CliError {
   const lines = outcome.conflicts.map((conflict) => {
-    const now = conflict.current === undefined
+    const rowState = conflict.current === undefined
       ? "is gone"
       : `is at version ${conflict.current.version}`;
-    return `Row ${conflict.kind} ${now}, changed by ${conflict.wonBy}; ` +
+    return `Row ${conflict.kind} ${rowState}, changed by ${conflict.wonBy}; ` +
       `this edit was made from version ${conflict.fromVersion}`;
   });
   return createCliError({
--- a/src/cli/commands/timeline.ts
+++ b/src/cli/commands/timeline.ts
@@ -1,4 +1,4 @@
-/** `basilpin timeline`: events over all processes, in order. */
+/** `basilpin timeline`: shows the events of all processes in causal order. */
 import { writeFileSync } from "node:fs";
 import type { Command } from "commander";
 import { err, ok, type Result } from "neverthrow";
@@ -15,11 +15,13 @@
 import { fetchStatus } from "./status.ts";
 
 interface TimelineOptions {
+  /** Id of the only request to show. */
   readonly request?: string;
+  /** Path of the HTML file to write instead of printing. */
   readonly html?: string;
 }
 
-/** Adds the time line command. */
+/** Registers the `timeline` command. */
 export function registerTimeline(program: Command): void {
   program.command("timeline")
     .description("events over all processes, in order")
@@ -35,23 +37,23 @@
   context: CommandContext,
   options: TimelineOptions,
 ): Promise<Result<void, CliError>> {
-  const merged = await fetchTimeline(context);
-  return merged.andThen((records) => {
-    const wanted = records.filter((record) =>
+  const timeline = await fetchTimeline(context);
+  return timeline.andThen((records) => {
+    const selected = records.filter((record) =>
       options.request === undefined ||
       ("requestId" in record.event &&
         record.event.requestId === options.request)
     );
     if (options.html !== undefined) {
-      return writePage(options.html, createTimelinePage(wanted));
+      return writePage(options.html, createTimelinePage(selected));
     }
     if (context.isJson) {
-      writeJson(wanted);
+      writeJson(selected);
       return ok(undefined);
     }
     writeColumns(
       ["TIME", "PROCESS", "EVENT", ""],
-      wanted.map((record) => [
+      selected.map((record) => [
         `${new Date(record.at.wallMs).toISOString()}+${record.at.counter}`,
         record.process,
         record.event.type,
@@ -76,7 +78,10 @@
   return ok(undefined);
 }
 
-/** Fetches the rings of all processes and merges them. */
+/**
+ * Fetches the event buffers of all processes and merges them in causal order.
+ * Processes that don't answer are omitted.
+ */
 export async function fetchTimeline(
   context: CommandContext,
 ): Promise<Result<readonly TimelineRecord[], CliError>> {
@@ -96,10 +101,10 @@
   const replies = await Promise.all(
     [...addresses].map((address) => context.client.requestFrom(address, call)),
   );
-  const rings = replies.map((reply) =>
+  const buffers = replies.map((reply) =>
     reply.isOk() ? reply.value.body as readonly TimelineRecord[] : []
   );
-  return ok(rings.flat().toSorted(compareRecords));
+  return ok(buffers.flat().toSorted(compareRecords));
 }
 
 function describeEvent(record: TimelineRecord): string {
--- a/src/cli/commands/trace.ts
+++ b/src/cli/commands/trace.ts
@@ -1,4 +1,4 @@
-/** `basilpin trace`: checks recordings, and replays them. */
+/** `basilpin trace`: validates and replays recorded traces. */
 import { readFileSync } from "node:fs";
 import type { Command } from "commander";
 import { err, ok, type Result } from "neverthrow";
@@ -18,7 +18,7 @@
 import { EXIT_CODES } from "../exit_codes.ts";
 import { writeColumns, writeJson, writeLine } from "../output.ts";
 
-/** Adds the trace commands. */
+/** Registers the `trace` commands. */
 export function registerTrace(program: Command): void {
   const trace = program.command("trace")
     .description("recordings of the events of one process");
@@ -52,10 +52,10 @@
       writeJson(summary);
       return;
     }
-    const stated = summary.hasOutcome ? "a stated outcome" : "no outcome";
+    const outcomeText = summary.hasOutcome ? "a stated outcome" : "no outcome";
     writeLine(
       `${file}: version ${summary.version}, ${summary.events} events of ` +
-        `${summary.process}, ${stated}`,
+        `${summary.process}, ${outcomeText}`,
     );
   });
 }
@@ -80,13 +80,13 @@
   if (trace.expected === undefined) {
     return ok(undefined);
   }
-  const differing = compareOutcomes(trace.expected, outcome);
-  if (differing.length === 0) {
+  const differences = compareOutcomes(trace.expected, outcome);
+  if (differences.length === 0) {
     return ok(undefined);
   }
   return err(createCliError({
     exitCode: EXIT_CODES.failed,
-    message: `${file}: outcome differs\n${differing.join("\n")}`,
+    message: `${file}: outcome differs\n${differences.join("\n")}`,
     advice: "Either the reducer or the stated outcome has changed",
   }));
 }
@@ -98,10 +98,10 @@
   }
   writeColumns(
     ["CALL", "STATUS", "OUTCOME"],
-    outcome.answers.map(({ exchangeId, status, outcome: said }) => [
+    outcome.answers.map(({ exchangeId, status, outcome: result }) => [
       exchangeId,
       String(status),
-      said,
+      result,
     ]),
   );
   writeLine(
@@ -113,9 +113,9 @@
 function printControlOutcome(outcome: ControlOutcome): void {
   writeColumns(
     ["EDIT", "OUTCOME", "VERSION"],
-    outcome.edits.map(({ editId, outcome: said, version }) => [
+    outcome.edits.map(({ editId, outcome: result, version }) => [
       editId,
-      said,
+      result,
       String(version),
     ]),
   );
--- a/src/cli/commands/wait_in_force.ts
+++ b/src/cli/commands/wait_in_force.ts
@@ -1,4 +1,4 @@
-/** Waits until every live node has confirmed a version of the table. */
+/** Waits until all live nodes have confirmed a version of the table. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { err, ok, type Result } from "neverthrow";
 import { createCliError } from "../cli_error.ts";
@@ -11,23 +11,26 @@
 const CONFIRM_TIMEOUT_MS = 15_000;
 const POLL_INTERVAL_MS = 100;
 
-/** Returns an error that names the nodes that have not confirmed in time. */
+/**
+ * Waits until all live nodes have confirmed `version` or a later one. After
+ * `CONFIRM_TIMEOUT_MS`, fails with the ids of the nodes that have not.
+ */
 export async function waitInForce(
   context: CommandContext,
   version: number,
 ): Promise<Result<void, CliError>> {
   const endMs = Date.now() + CONFIRM_TIMEOUT_MS;
-  let behind: readonly string[] = [];
+  let unconfirmed: readonly string[] = [];
   while (Date.now() < endMs) {
     const status = await fetchStatus(context);
     if (status.isErr()) {
       return err(status.error);
     }
     const { nodes } = status.value;
-    behind = nodes
+    unconfirmed = nodes
       .filter((node) => (node.tableVersion ?? 0) < version)
       .map((node) => node.nodeId);
-    if (behind.length === 0) {
+    if (unconfirmed.length === 0) {
       if (!context.isJson) {
         writeLine(`Version ${version}: in force on ${nodes.length} nodes`);
       }
@@ -37,7 +40,7 @@
   }
   return err(createCliError({
     exitCode: EXIT_CODES.unconfirmed,
-    message: `Accepted, but not confirmed by: ${behind.join(", ")}`,
+    message: `Accepted, but not confirmed by: ${unconfirmed.join(", ")}`,
     advice: "The edit stands; see basilpin status for these nodes",
   }));
 }
--- a/src/cli/commands/workspaces.ts
+++ b/src/cli/commands/workspaces.ts
@@ -1,4 +1,4 @@
-/** `basilpin workspaces`: their limits, and what they ask for. */
+/** `basilpin workspaces`: lists the limits and the demand of workspaces. */
 import type { Command } from "commander";
 import type { Result } from "neverthrow";
 import type { WorkspaceReport } from "../../engine/control/common/workspace_report.ts";
@@ -8,7 +8,7 @@
 import { writeColumns, writeJson } from "../output.ts";
 import { fetchStatus } from "./status.ts";
 
-/** Adds the workspaces command. */
+/** Registers the `workspaces` command. */
 export function registerWorkspaces(program: Command): void {
   program.command("workspaces")
     .description("workspaces, their limits and what is let in; never a key")
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `basilpin`: the operators' command-line tool. */
+/** Entry point of `basilpin`, the command-line tool of operators. */
 import process from "node:process";
 import { Command } from "commander";
 import { readUserName } from "./command_context.ts";
--- a/src/cli/operator_access.ts
+++ b/src/cli/operator_access.ts
@@ -1,4 +1,4 @@
-/** How the command line proves itself and whom it trusts, read from files. */
+/** Credentials and trusted authority of the command line. */
 import { readFileSync } from "node:fs";
 import { err, ok, type Result } from "neverthrow";
 import { readAuthority } from "../base/node/tls.ts";
@@ -6,35 +6,37 @@
 import type { CliError } from "./cli_error.ts";
 import { EXIT_CODES } from "./exit_codes.ts";
 
-/** What requests to operators' listeners are sent with. */
+/** Trusted authority and token for requests to operator listeners. */
 export interface OperatorAccess {
-  /** PEM of the authority; plain HTTP without it. */
+  /** Certificate of the authority as PEM; undefined for plain HTTP. */
   readonly authority: string | undefined;
+  /** Bearer token; undefined if the operator gave none. */
   readonly token: string | undefined;
 }
 
-/** Where both come from. */
+/** Options that name the files to read. */
 export interface AccessOptions {
   readonly authority?: string;
   readonly tokenFile?: string;
 }
 
-/** Reads the files; a token of the environment gives way to the file's. */
+/** Reads the files; a token file takes precedence over `environmentToken`. */
 export function readAccess(
   { authority, tokenFile }: AccessOptions,
   environmentToken: string | undefined,
 ): Result<OperatorAccess, CliError> {
-  const trusted: Result<string | undefined, CliError> = authority === undefined
-    ? ok(undefined)
-    : readAuthority(authority).mapErr((reason) =>
-      createCliError({
-        exitCode: EXIT_CODES.usage,
-        message: `--authority ${authority}: ${reason}`,
-        advice: "Name the PEM file that security.authority of the settings " +
-          "names",
-      })
-    );
-  return trusted.andThen((pem) =>
+  const authorityPem: Result<string | undefined, CliError> =
+    authority === undefined
+      ? ok(undefined)
+      : readAuthority(authority).mapErr((reason) =>
+        createCliError({
+          exitCode: EXIT_CODES.usage,
+          message: `--authority ${authority}: ${reason}`,
+          advice: "Name the PEM file that security.authority of the settings " +
+            "names",
+        })
+      );
+  return authorityPem.andThen((pem) =>
     readToken(tokenFile, environmentToken)
       .map((token) => ({ authority: pem, token }))
   );
--- a/src/cli/operator_client.ts
+++ b/src/cli/operator_client.ts
@@ -1,4 +1,4 @@
-/** HTTP requests to the operators' listeners, one replica after the other. */
+/** HTTP client for the operator listeners of control replicas and nodes. */
 import { err, ok, type Result } from "neverthrow";
 import { Agent, request } from "undici";
 import { createConnector, formatOrigin } from "../base/node/tls.ts";
@@ -9,35 +9,36 @@
 import { EXIT_CODES } from "./exit_codes.ts";
 import type { OperatorAccess } from "./operator_access.ts";
 
-/** One request to a control replica or a node. */
+/** Request to a control replica or a node. */
 export interface OperatorCall {
   readonly method: "GET" | "POST";
   readonly path: string;
+  /** Value to send as JSON. */
   readonly body?: unknown;
-  /** Longest wait for the answer; `TIMEOUT_MS` where left out. */
+  /** Limit on the whole exchange; `DEFAULT_TIMEOUT_MS` by default. */
   readonly timeoutMs?: number;
 }
 
-/** A JSON answer. */
+/** HTTP answer with a JSON body. */
 export interface OperatorReply {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** Who asks, and where. */
 export interface OperatorClientOptions {
   /** `host:port` of the control replicas. */
   readonly replicas: readonly string[];
+  /** Name of the operator, sent with each request. */
   readonly operator: string;
-  /** An error is what every request ends with. */
+  /** If it is an error, every request fails with it. */
   readonly access: Result<OperatorAccess, CliError>;
 }
 
 const DEFAULT_TIMEOUT_MS = 10_000;
-/** For what a process answers from memory: a longer silence is a fault. */
+/** Limit for answers that a process gives from memory; longer is a fault. */
 export const IN_MEMORY_READ_TIMEOUT_MS = 2_000;
 
-/** Asks control replicas, and single processes by their address. */
+/** Sends requests to any control replica or to a process by its address. */
 export class OperatorClient {
   readonly #options: OperatorClientOptions;
   #agent: Agent | undefined;
@@ -52,8 +53,8 @@
   }
 
   /**
-   * Asks the replicas in turn until one answers. A request that changes
-   * something carries an id of its own, so that asking twice does no harm.
+   * Sends the request to one replica after the other until one answers. An edit
+   * carries an id and is applied once, so sending it twice is safe.
    */
   async request(call: OperatorCall): Promise<Result<OperatorReply, CliError>> {
     const { access } = this.#options;
@@ -86,7 +87,7 @@
     }));
   }
 
-  /** Asks one process. */
+  /** Sends the request to the process at `address`, as `host:port`. */
   async requestFrom(
     address: string,
     call: OperatorCall,
@@ -125,7 +126,7 @@
   }
 }
 
-/** A token is shown only where a change is asked for. */
+/** Creates the authorization header; only requests that change state get it. */
 function createAuthorization(
   { method }: OperatorCall,
   token: string | undefined,
@@ -144,7 +145,7 @@
   });
 }
 
-/** Reads the sentence that an answer carries. */
+/** Returns the message of an answer, or its status if it has none. */
 export function readMessage(reply: OperatorReply): string {
   const { message } = (reply.body ?? {}) as { message?: unknown };
   return typeof message === "string" ? message : `status ${reply.status}`;
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,4 +1,4 @@
-/** How commands print. */
+/** Output of commands on standard output. */
 import process from "node:process";
 
 /** Prints a value as JSON. */
@@ -11,7 +11,7 @@
   process.stdout.write(`${line}\n`);
 }
 
-/** Prints rows under headings, in columns as wide as their widest cell. */
+/** Prints headings and rows; each column is as wide as its widest cell. */
 export function writeColumns(
   headings: readonly string[],
   rows: readonly (readonly string[])[],
--- a/src/cli/test/session_test.ts
+++ b/src/cli/test/session_test.ts
@@ -1,4 +1,4 @@
-/** Golden files of whole sessions at the command line. */
+/** Guards against unintended changes of what commands print, by snapshots. */
 import { writeFileSync } from "node:fs";
 import { join } from "node:path";
 import { Snapshots } from "../../base/test/snapshot.ts";
@@ -7,7 +7,7 @@
 const snapshots = new Snapshots(import.meta.url);
 const TABLE = "examples/toy-trust/table.csv";
 
-/** Replaces what differs from run to run. */
+/** Replaces values that differ between runs by placeholders. */
 function mask(text: string, folder: string): string {
   return text
     .replaceAll(folder, "FOLDER")
@@ -36,15 +36,15 @@
   });
 
   async function runSession(
-    lines: readonly (readonly string[])[],
+    commands: readonly (readonly string[])[],
   ): Promise<string> {
-    const parts: string[] = [];
-    for (const args of lines) {
+    const outputs: string[] = [];
+    for (const args of commands) {
       const { stdout, stderr, exitCode } = await fleet.run(...args);
-      parts.push(`$ basilpin ${args.join(" ")}\n${stdout}${stderr}`);
-      parts.push(`exit code ${exitCode}\n`);
+      outputs.push(`$ basilpin ${args.join(" ")}\n${stdout}${stderr}`);
+      outputs.push(`exit code ${exitCode}\n`);
     }
-    return mask(parts.join(""), fleet.folder);
+    return mask(outputs.join(""), fleet.folder);
   }
 
   it("takes an operator from the first table to a drain", async () => {
@@ -62,7 +62,7 @@
     snapshots.match("whole session", session);
   });
 
-  it("tells what is wrong and what to do next", async () => {
+  it("prints the error and what to do next", async () => {
     const bad = join(fleet.folder, "bad.csv");
     writeFileSync(bad, "kind,service\nx,y\n");
     const session = await runSession([
@@ -92,7 +92,7 @@
       ["trace", "check", "--help"],
       ["trace", "replay", "--help"],
     ]);
-    const operator = /(\(default:\s+)"[^"]*"/g;
-    snapshots.match("help", session.replace(operator, '$1"DEFAULT"'));
+    const operatorDefault = /(\(default:\s+)"[^"]*"/g;
+    snapshots.match("help", session.replace(operatorDefault, '$1"DEFAULT"'));
   });
 });
--- a/src/cli/test/timeline_page_test.ts
+++ b/src/cli/test/timeline_page_test.ts
@@ -1,4 +1,4 @@
-/** The HTML page of the time line. */
+/** Guards against HTML injection by callers' ids, and wrong lanes. */
 import { expect } from "chai";
 import { createTimelinePage } from "../timeline_page.ts";
 import type { TimelineRecord } from "../../engine/telemetry/common/timeline_event.ts";
--- a/src/cli/timeline_page.ts
+++ b/src/cli/timeline_page.ts
@@ -1,4 +1,4 @@
-/** The time line as one self-contained HTML page: a lane for each process. */
+/** Renders the time line as one HTML page with a lane for each process. */
 import type { TimelineRecord } from "../engine/telemetry/common/timeline_event.ts";
 
 const STYLE = `
@@ -23,7 +23,7 @@
 });
 `;
 
-/** Event types that are drawn as trouble. */
+/** Event types that the page highlights as failures. */
 const FAILURE_EVENTS: ReadonlySet<string> = new Set([
   "AttemptRefused",
   "BackendCrashed",
@@ -33,12 +33,12 @@
   "RequestQuarantined",
 ]);
 
-/** Writes the page; `records` are in order. */
+/** Creates the page; `records` must be in causal order. */
 export function createTimelinePage(
   records: readonly TimelineRecord[],
 ): string {
   const lanes = [...new Set(records.map((record) => record.process))].sort();
-  const heads = lanes.map((lane) => `<th>${escapeHtml(lane)}</th>`).join("");
+  const headings = lanes.map((lane) => `<th>${escapeHtml(lane)}</th>`).join("");
   const rows = records.map((record) => createRow(record, lanes)).join("\n");
   return `<!doctype html>
 <html lang="en">
@@ -48,7 +48,7 @@
 <h1>Time line</h1>
 <p>${records.length} events of ${lanes.length} processes, in causal order.</p>
 <input placeholder="filter: request id, event, node ..." aria-label="filter">
-<table><thead><tr><th>time</th>${heads}</tr></thead>
+<table><thead><tr><th>time</th>${headings}</tr></thead>
 <tbody>
 ${rows}
 </tbody></table>
@@ -75,9 +75,9 @@
   const text = Object.entries(details)
     .map(([name, value]) => `${name}=${value}`)
     .join(" ");
-  const mark = FAILURE_EVENTS.has(type) ? "here bad" : "here";
-  const small = text === "" ? "" : `<small>${escapeHtml(text)}</small>`;
-  return `<td class="${mark}">${escapeHtml(type)}${small}</td>`;
+  const className = FAILURE_EVENTS.has(type) ? "here bad" : "here";
+  const detailsHtml = text === "" ? "" : `<small>${escapeHtml(text)}</small>`;
+  return `<td class="${className}">${escapeHtml(type)}${detailsHtml}</td>`;
 }
 
 function escapeHtml(text: string): string {
