--- a/src/base/common/maps.ts
+++ b/src/base/common/maps.ts
@@ -11,7 +11,7 @@
   return copy;
 }
 
-/** Returns a copy of `map` without `key`, or `map` itself if it has no `key`. */
+/** Returns a copy of `map` without `key`; `map` itself if `key` is absent. */
 export function deleteEntry<K, V>(
   map: ReadonlyMap<K, V>,
   key: K,
--- a/src/base/node/loop_watch.ts
+++ b/src/base/node/loop_watch.ts
@@ -76,7 +76,7 @@
     this.#hasAccepted = true;
   }
 
-  /** Runs `run`: at once, or while the loop lags after pending bytes are read. */
+  /** Runs `run` at once, or while the loop lags, after pending reads. */
   runAfterPendingReads(run: () => void): void {
     if (this.lagMs < LAG_THRESHOLD_MS) {
       run();
--- a/src/base/node/tls.ts
+++ b/src/base/node/tls.ts
@@ -90,7 +90,7 @@
 
 /**
  * Creates a connector for undici clients. Its errors get the `syscall`
- * `connect` if they have none, which says that no byte of a request was written.
+ * `connect` if they have none: no byte of a request was written.
  */
 export function createConnector(
   tls: TlsTrust | undefined,
--- a/src/cli/operator_client.ts
+++ b/src/cli/operator_client.ts
@@ -53,8 +53,9 @@
   }
 
   /**
-   * Sends the request to one replica after the other until one answers. An edit
-   * carries an id and is applied once, so sending it twice is safe.
+   * Sends the request to one replica after the other until one answers with
+   * another status than 503. An edit carries an id and is applied once, so
+   * sending it twice is safe.
    */
   async request(call: OperatorCall): Promise<Result<OperatorReply, CliError>> {
     const { access } = this.#options;
