--- a/src/base/node/first_requests.ts
+++ b/src/base/node/first_requests.ts
@@ -1,98 +1,105 @@
 /**
- * Holds the first request of each connection until the close that may lie
- * behind it has been read.
+ * Queues the first request of each connection until a close that follows the
+ * request in the socket has been read.
  *
- * The runtime accepts one connection in each turn of its loop, so in a burst
- * connections wait for as many turns as there are others before them: their
- * callers may have left long before the request is read, and the close is read
- * a turn after it. Accepting therefore goes before the work of held requests,
- * which runs in short slices, so that the sockets are read in between.
+ * The runtime accepts one connection in each turn of the event loop, so in a
+ * burst a connection waits as many turns as there are connections before it.
+ * Its caller may have disconnected long before the request is read, and the
+ * close is read one turn after the request. Accepting connections therefore
+ * takes precedence over running queued requests, which run in short slices so
+ * that sockets are read between slices.
  */
 import type { FirstRequestQueue } from "../common/first_requests.ts";
 
-/** Turns until the close behind a request that was just read has been read. */
-const CLOSE_TURNS = 2;
-/** Longest stretch of turns that only accept, in milliseconds. */
-const ACCEPT_STRETCH_MS = 10;
-/** Longest slice of held work in one turn, in milliseconds. */
-const SLICE_MS = 5;
+/** Turns of the event loop until a close that follows a request is read. */
+const CLOSE_READ_TURNS = 2;
+/** Longest time for which accepting connections delays queued requests. */
+const MAX_ACCEPT_ONLY_MS = 10;
+/** Time after which a turn of the loop starts no further queued request. */
+const MAX_SLICE_MS = 5;
 
-interface HeldRequest {
+interface QueuedRequest {
   readonly run: () => void;
-  /** The turn from which on it may run. */
-  readonly fromTurn: number;
+  /** First turn of the loop in which `run` may be called. */
+  readonly earliestTurn: number;
 }
 
-/** Owns the requests that wait for what lies behind them. */
+/** Queue of the first requests of all connections of a process. */
 export class FirstRequests implements FirstRequestQueue {
   readonly #readClock: () => number;
-  readonly #held: HeldRequest[] = [];
+  readonly #queue: QueuedRequest[] = [];
+  /** Turns of the loop counted so far; pauses while not active. */
   #turn = 0;
-  #isTurning = false;
-  /** Whether a connection was accepted in the present turn. */
+  /** Whether an end-of-turn callback is scheduled. */
+  #isActive = false;
+  /** Whether a connection was accepted in the current turn. */
   #hasAccepted = false;
-  /** Since when each turn has accepted a connection. */
-  #acceptsSinceMs = 0;
-  #stretchEndMs = 0;
+  /** Start of the unbroken series of turns that each accepted a connection. */
+  #acceptingSinceMs = 0;
+  /** Time from which queued requests run even if connections are accepted. */
+  #acceptOnlyUntilMs = 0;
 
   constructor(readClock: () => number) {
     this.#readClock = readClock;
   }
 
-  /** Longest time that a connection accepted now may have waited. */
+  /**
+   * Upper bound on how long a connection that is accepted now has waited in the
+   * listen backlog, in milliseconds.
+   */
   get queuedMs(): number {
-    return this.#isTurning ? this.#readClock() - this.#acceptsSinceMs : 0;
+    return this.#isActive ? this.#readClock() - this.#acceptingSinceMs : 0;
   }
 
-  /** Notes that a connection was accepted; more may wait to be. */
-  noteAccepted(): void {
+  /** Records that a connection was accepted; the backlog may hold more. */
+  recordAccepted(): void {
     this.#hasAccepted = true;
-    this.#startTurns();
+    this.#start();
   }
 
-  hold(run: () => void): void {
-    this.#startTurns();
-    this.#held.push({ run, fromTurn: this.#turn + CLOSE_TURNS });
+  enqueue(run: () => void): void {
+    this.#start();
+    this.#queue.push({ run, earliestTurn: this.#turn + CLOSE_READ_TURNS });
   }
 
-  #startTurns(): void {
-    if (this.#isTurning) {
+  #start(): void {
+    if (this.#isActive) {
       return;
     }
-    this.#isTurning = true;
-    this.#acceptsSinceMs = this.#readClock();
-    this.#stretchEndMs = this.#acceptsSinceMs + ACCEPT_STRETCH_MS;
+    this.#isActive = true;
+    this.#acceptingSinceMs = this.#readClock();
+    this.#acceptOnlyUntilMs = this.#acceptingSinceMs + MAX_ACCEPT_ONLY_MS;
     setImmediate(() => this.#endTurn());
   }
 
-  /** Runs after all sockets that have bytes were read once more. */
+  /** Runs after the turn has read every readable socket once. */
   #endTurn(): void {
     this.#turn += 1;
     const nowMs = this.#readClock();
     const hasAccepted = this.#hasAccepted;
     this.#hasAccepted = false;
     if (!hasAccepted) {
-      this.#acceptsSinceMs = nowMs;
+      this.#acceptingSinceMs = nowMs;
     }
-    if (!hasAccepted || nowMs >= this.#stretchEndMs) {
-      this.#runSlice(nowMs + SLICE_MS);
-      this.#stretchEndMs = this.#readClock() + ACCEPT_STRETCH_MS;
+    if (!hasAccepted || nowMs >= this.#acceptOnlyUntilMs) {
+      this.#runSlice(nowMs + MAX_SLICE_MS);
+      this.#acceptOnlyUntilMs = this.#readClock() + MAX_ACCEPT_ONLY_MS;
     }
-    if (hasAccepted || this.#held.length > 0) {
+    if (hasAccepted || this.#queue.length > 0) {
       setImmediate(() => this.#endTurn());
     } else {
-      this.#isTurning = false;
+      this.#isActive = false;
     }
   }
 
   #runSlice(endMs: number): void {
     while (this.#isNextReady() && this.#readClock() < endMs) {
-      this.#held.shift()!.run();
+      this.#queue.shift()!.run();
     }
   }
 
   #isNextReady(): boolean {
-    const [next] = this.#held;
-    return next !== undefined && next.fromTurn <= this.#turn;
+    const [next] = this.#queue;
+    return next !== undefined && next.earliestTurn <= this.#turn;
   }
 }
--- a/src/base/node/shared_ticks.ts
+++ b/src/base/node/shared_ticks.ts
@@ -1,30 +1,31 @@
 /**
- * Periodic work of one process, all on one timer. A wake costs far more than
- * the work that it is for (0.15 ms of a core on a machine that is not busy),
- * and timers of several periods wake a process at different moments: a control
- * replica with four links woke 60 times a second for them.
+ * Runs all periodic tasks of a process on one timer. Waking an idle process
+ * costs far more than a typical task (0.15 ms of a core on an idle machine),
+ * and timers with different periods wake it at different times: with a timer
+ * for each task, a control replica with four links woke 60 times a second.
  */
 
-/** Periods are rounded up to whole steps, in milliseconds. */
+/** Interval of the timer; periods are rounded up to a multiple of it. */
 export const TICK_STEP_MS = 50;
 
-interface Tick {
+interface PeriodicTask {
+  /** Period, in steps of `TICK_STEP_MS`. */
   readonly steps: number;
   readonly run: () => void;
 }
 
-const ticks = new Set<Tick>();
+const tasks = new Set<PeriodicTask>();
 let timer: NodeJS.Timeout | undefined;
 let stepCount = 0;
 
-/** Runs `run` each `periodMs`, together with others; returns what stops it. */
+/** Calls `run` every `periodMs`; returns a function that stops the calls. */
 export function startTicks(periodMs: number, run: () => void): () => void {
-  const tick = { steps: Math.max(1, Math.ceil(periodMs / TICK_STEP_MS)), run };
-  ticks.add(tick);
+  const task = { steps: Math.max(1, Math.ceil(periodMs / TICK_STEP_MS)), run };
+  tasks.add(task);
   timer ??= setInterval(runStep, TICK_STEP_MS);
   return () => {
-    ticks.delete(tick);
-    if (ticks.size === 0) {
+    tasks.delete(task);
+    if (tasks.size === 0) {
       clearInterval(timer);
       timer = undefined;
     }
@@ -33,7 +34,7 @@
 
 function runStep(): void {
   stepCount += 1;
-  for (const { steps, run } of [...ticks]) {
+  for (const { steps, run } of [...tasks]) {
     if (stepCount % steps === 0) {
       run();
     }
--- a/src/cli/commands/drain.ts
+++ b/src/cli/commands/drain.ts
@@ -1,4 +1,4 @@
-/** `basilpin drain`: takes a backend server out of work. */
+/** `basilpin drain`: stops sending new work to a backend server. */
 import type { Command } from "commander";
 import { err, ok, type Result } from "neverthrow";
 import { createCliError } from "../cli_error.ts";
@@ -9,7 +9,7 @@
 import { readMessage } from "../operator_client.ts";
 import { writeJson, writeLine } from "../output.ts";
 
-/** Adds the drain command. */
+/** Registers the `drain` command. */
 export function registerDrain(program: Command): void {
   program.command("drain")
     .description("send a backend server no new work")
@@ -25,7 +25,7 @@
   node: string,
 ): Promise<Result<void, CliError>> {
   const path = `/drain?node=${encodeURIComponent(node)}`;
-  const reply = await context.client.ask({ method: "POST", path });
+  const reply = await context.client.request({ method: "POST", path });
   if (reply.isErr()) {
     return err(reply.error);
   }
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -1,4 +1,4 @@
-/** `basilpin status`: nodes, control replicas, versions in force. */
+/** `basilpin status`: lists nodes, control replicas and table versions. */
 import type { Command } from "commander";
 import type { Result } from "neverthrow";
 import type { ClusterReport } from "../../engine/control/common/cluster_report.ts";
@@ -6,17 +6,17 @@
 import type { CliError } from "../cli_error.ts";
 import { createContext, finishCommand } from "../command_context.ts";
 import type { CommandContext } from "../command_context.ts";
-import { MEMORY_TIMEOUT_MS } from "../operator_client.ts";
+import { IN_MEMORY_READ_TIMEOUT_MS } from "../operator_client.ts";
 import { writeColumns, writeJson, writeLine } from "../output.ts";
 
-/** What a control replica answers. */
+/** Answer of a control replica to `GET /status`. */
 export interface StatusAnswer extends ControlReport {
   readonly cluster: ClusterReport;
   readonly id: string;
   readonly dataCentre: string;
 }
 
-/** Adds the status command. */
+/** Registers the `status` command. */
 export function registerStatus(program: Command): void {
   program.command("status")
     .description("nodes, control replicas and the versions in force")
@@ -30,10 +30,10 @@
 export async function fetchStatus(
   context: CommandContext,
 ): Promise<Result<StatusAnswer, CliError>> {
-  const reply = await context.client.ask({
+  const reply = await context.client.request({
     method: "GET",
     path: "/status",
-    timeoutMs: MEMORY_TIMEOUT_MS,
+    timeoutMs: IN_MEMORY_READ_TIMEOUT_MS,
   });
   return reply.map(({ body }) => body as StatusAnswer);
 }
--- a/src/daemon/node_daemon.ts
+++ b/src/daemon/node_daemon.ts
@@ -227,8 +227,8 @@
     return new CallServer({
       loop: this.#loopWatch,
       recordConnection: () => {
-        this.#loopWatch.noteAccepted();
-        this.#firstRequests.noteAccepted();
+        this.#loopWatch.recordAccepted();
+        this.#firstRequests.recordAccepted();
       },
       firstRequests: this.#firstRequests,
       listeners: {
--- a/src/daemon/relay_daemon.ts
+++ b/src/daemon/relay_daemon.ts
@@ -174,8 +174,8 @@
           this.#entry.start(request, service, onResult),
         observeCall: (call) => this.#callTree.recordCall(call, readSteadyMs()),
         recordConnection: () => {
-          this.#loopWatch.noteAccepted();
-          this.#firstRequests.noteAccepted();
+          this.#loopWatch.recordAccepted();
+          this.#firstRequests.recordAccepted();
         },
         firstRequests: this.#firstRequests,
         getCallerService: () => this.#control.announcement.service,
