--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,6 +1,7 @@
 /**
- * Plays soaks by hand: `node out/soak/main.js --seeds 50 --first 1`, those of a
- * call tree with `--tree`.
+ * Runs soak tests from the command line, one per seed:
+ * `node out/soak/main.js --seeds 50 --first 1`. With `--tree`, runs the soak
+ * test of a call tree.
  */
 import process from "node:process";
 import { Command } from "commander";
@@ -8,43 +9,44 @@
 import { runTreeSoak, SHORT_TREE_SOAK } from "./tree_soak.ts";
 
 const options = new Command("soak")
-  .option("--seeds <count>", "how many seeds are played", "1")
-  .option("--first <seed>", "the first one", "1")
-  .option("--entries <count>", "entries", String(SHORT_SOAK.entries))
+  .option("--seeds <count>", "number of seeds to run", "1")
+  .option("--first <seed>", "first seed", "1")
+  .option("--entries <count>", "entry nodes", String(SHORT_SOAK.entries))
   .option("--backends <count>", "backend servers", String(SHORT_SOAK.backends))
-  .option("--replicas <count>", "replicas", String(SHORT_SOAK.replicas))
-  .option("--seconds <count>", "length of the faults", "12")
-  .option("--overlapping <count>", "faults at a time", "2")
-  .option("--tree", "services that call each other")
+  .option("--replicas <count>", "control replicas", String(SHORT_SOAK.replicas))
+  .option("--seconds <count>", "duration of fault injection", "12")
+  .option("--overlapping <count>", "maximum number of concurrent faults", "2")
+  .option("--tree", "run the soak test of a call tree")
   .option(
     "--nodes <count>",
-    "nodes of each service, with --tree",
+    "nodes per service, with --tree",
     String(SHORT_TREE_SOAK.nodesPerService),
   )
   .parse().opts<Readonly<Record<string, string | undefined>>>();
 
-// Ends the processes of the soak with it.
+// The default action of a signal skips exit handlers; exiting explicitly runs
+// them, which ends the child processes.
 for (const signal of ["SIGINT", "SIGTERM"] as const) {
   process.once(signal, () => process.exit(1));
 }
 let brokenSeeds = 0;
 const first = Number(options["first"]);
 for (let seed = first; seed < first + Number(options["seeds"]); seed += 1) {
-  const shared = {
+  const common = {
     seed,
     lengthMs: Number(options["seconds"]) * 1_000,
     overlapping: Number(options["overlapping"]),
   };
   const report = options["tree"] === undefined
     ? await runSoak({
-      ...shared,
+      ...common,
       entries: Number(options["entries"]),
       backends: Number(options["backends"]),
       replicas: Number(options["replicas"]),
       callers: SHORT_SOAK.callers,
     })
     : await runTreeSoak({
-      ...shared,
+      ...common,
       nodesPerService: Number(options["nodes"]),
     });
   brokenSeeds += report.broken.length > 0 ? 1 : 0;
--- a/soak/soak_callers.ts
+++ b/soak/soak_callers.ts
@@ -1,4 +1,7 @@
-/** Callers of a soak: each uses its open connection until that is gone. */
+/**
+ * Callers of a soak test. Each sends its requests over one keep-alive
+ * connection and reconnects when that is closed.
+ */
 import { connect } from "node:net";
 import type { Socket } from "node:net";
 import { performance } from "node:perf_hooks";
@@ -6,47 +9,60 @@
 import type { Random } from "../src/base/test/seeded_random.ts";
 import { formatRequest } from "../platform/standin/front_and_back.ts";
 
-/** What became of a request, as its caller saw it. */
+/** The result of one request, as its caller observed it. */
 export interface SoakOutcome {
   readonly requestId: string;
+  /** `host:port` of the entry node that the request was sent to. */
   readonly entry: string;
+  /** Whether the request is on the non-idempotent route. */
   readonly isTransfer: boolean;
+  /** Time of the monotonic clock. */
   readonly sentAtMs: number;
+  /** Time of the monotonic clock. */
   readonly endedAtMs: number;
-  /** `left`: the caller closed; `cut`: the connection ended with no answer. */
+  /**
+   * `left`: the caller closed the connection before a complete answer; `cut`:
+   * the connection was closed by the other side before a complete answer.
+   */
   readonly end: "answered" | "left" | "cut";
+  /** HTTP status; undefined when no response header was received. */
   readonly status: number | undefined;
+  /** Whether the answer has the backend server's `server-seal` header. */
   readonly hasSeal: boolean;
   readonly body: string;
 }
 
-/** What a caller needs. */
+/** Parameters of one caller. */
 export interface CallerOptions {
+  /** `host:port` of the entry node. */
   readonly entry: string;
   readonly random: Random;
   readonly createId: () => string;
-  readonly isOver: () => boolean;
-  readonly note: (outcome: SoakOutcome) => void;
+  /** Whether the caller is to send no further request. */
+  readonly isStopped: () => boolean;
+  readonly recordOutcome: (outcome: SoakOutcome) => void;
 }
 
-const PATIENCE_MS = 900;
-const LEAVING_PART = 0.25;
-const TRANSFER_PART = 0.3;
-const PAUSE_MS = 30;
-const RECONNECT_MS = 100;
-const ANSWER = /^HTTP\/1\.1 (\d+)[^]*?\r\n\r\n/;
+const CALLER_TIMEOUT_MS = 900;
+/** Share of requests whose caller leaves within a third of its timeout. */
+const LEAVING_RATIO = 0.25;
+/** Share of requests on the non-idempotent route. */
+const TRANSFER_RATIO = 0.3;
+const MAX_PAUSE_MS = 30;
+const RECONNECT_DELAY_MS = 100;
+const RESPONSE_HEAD = /^HTTP\/1\.1 (\d+)[^]*?\r\n\r\n/;
 
-/** Calls one after the other on a connection, and opens the next one. */
-export async function callUntilOver(options: CallerOptions): Promise<void> {
-  while (!options.isOver()) {
+/** Sends requests one at a time, reconnecting as needed, until stopped. */
+export async function callUntilStopped(options: CallerOptions): Promise<void> {
+  while (!options.isStopped()) {
     const socket = await openSocket(options.entry);
     if (socket === undefined) {
-      await sleep(RECONNECT_MS);
+      await sleep(RECONNECT_DELAY_MS);
       continue;
     }
-    while (!socket.destroyed && !options.isOver()) {
+    while (!socket.destroyed && !options.isStopped()) {
       await callOnSocket(socket, options);
-      await sleep(options.random() * PAUSE_MS);
+      await sleep(options.random() * MAX_PAUSE_MS);
     }
     socket.destroy();
   }
@@ -64,22 +80,24 @@
 
 async function callOnSocket(
   socket: Socket,
-  { entry, random, createId, note }: CallerOptions,
+  { entry, random, createId, recordOutcome }: CallerOptions,
 ): Promise<void> {
   const requestId = createId();
-  const isTransfer = random() < TRANSFER_PART;
-  const isLeaving = random() < LEAVING_PART;
-  const staysMs = isLeaving ? random() * PATIENCE_MS / 3 : 2 * PATIENCE_MS;
+  const isTransfer = random() < TRANSFER_RATIO;
+  const isLeaving = random() < LEAVING_RATIO;
+  const waitLimitMs = isLeaving
+    ? random() * CALLER_TIMEOUT_MS / 3
+    : 2 * CALLER_TIMEOUT_MS;
   const sentAtMs = performance.now();
   const text = formatRequest({
     requestId,
-    callerTimeoutMs: PATIENCE_MS,
+    callerTimeoutMs: CALLER_TIMEOUT_MS,
     isTransfer,
   });
-  const read = await exchange(socket, text, staysMs);
-  const { endedAtMs, end, answer } = read;
-  const head = ANSWER.exec(answer)?.[0] ?? "";
-  note({
+  const result = await exchange(socket, text, waitLimitMs);
+  const { endedAtMs, end, answer } = result;
+  const head = RESPONSE_HEAD.exec(answer)?.[0] ?? "";
+  recordOutcome({
     requestId,
     entry,
     isTransfer,
@@ -95,7 +113,7 @@
   }
 }
 
-interface ExchangeRead {
+interface ExchangeResult {
   readonly endedAtMs: number;
   readonly end: SoakOutcome["end"];
   readonly answer: string;
@@ -104,35 +122,35 @@
 function exchange(
   socket: Socket,
   text: string,
-  staysMs: number,
-): Promise<ExchangeRead> {
+  waitLimitMs: number,
+): Promise<ExchangeResult> {
   return new Promise((resolve) => {
     let answer = "";
-    const stop = (end: SoakOutcome["end"]) => {
+    const finish = (end: SoakOutcome["end"]) => {
       clearTimeout(timer);
-      socket.off("data", take);
-      socket.off("close", lose);
+      socket.off("data", receive);
+      socket.off("close", handleClose);
       if (end !== "answered") {
         socket.destroy();
       }
       resolve({ endedAtMs: performance.now(), end, answer });
     };
-    const take = (data: Uint8Array) => {
+    const receive = (data: Uint8Array) => {
       answer += String(data);
-      if (isWhole(answer)) {
-        stop("answered");
+      if (isComplete(answer)) {
+        finish("answered");
       }
     };
-    const lose = () => stop("cut");
-    const timer = setTimeout(() => stop("left"), staysMs);
-    socket.on("data", take);
-    socket.on("close", lose);
+    const handleClose = () => finish("cut");
+    const timer = setTimeout(() => finish("left"), waitLimitMs);
+    socket.on("data", receive);
+    socket.on("close", handleClose);
     socket.write(text);
   });
 }
 
-function isWhole(answer: string): boolean {
-  const head = ANSWER.exec(answer)?.[0];
+function isComplete(answer: string): boolean {
+  const head = RESPONSE_HEAD.exec(answer)?.[0];
   if (head === undefined) {
     return false;
   }
--- a/soak/soak_fleet.ts
+++ b/soak/soak_fleet.ts
@@ -1,4 +1,7 @@
-/** The processes of one soak: replicas, entries and backend servers' nodes. */
+/**
+ * The processes of one soak test: control replicas, entry nodes and the nodes
+ * beside backend servers.
+ */
 import type { ChildProcess } from "node:child_process";
 import { performance } from "node:perf_hooks";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -14,66 +17,73 @@
 } from "../platform/standin/platform_fleet.ts";
 import type { BackendRun } from "../platform/standin/standin_backend.ts";
 
-/** How large a soak is. */
+/** The number of processes of each kind in a soak test. */
 export interface SoakSize {
   readonly entries: number;
   readonly backends: number;
   readonly replicas: number;
 }
 
-/** A process with what was done to it. */
+/** A process of the fleet and the state of its faults. */
 export interface SoakMember {
   readonly role: ProgramRole;
   readonly name: string;
   process: PlatformProcess;
-  /** Whether a fault is in progress: one at a time for each process. */
+  /** Whether a fault is in progress; a process has at most one at a time. */
   isBusy: boolean;
-  /** Last moment at which it did not run freely, by the steady clock. */
+  /**
+   * End of the last disturbance, by the monotonic clock: Infinity during one,
+   * -Infinity before the first.
+   */
   disturbedAtMs: number;
 }
 
-/** A planned stop as it was seen. */
+/** The observed result of a planned stop. */
 export interface PlannedStop {
   readonly name: string;
+  /** Time from SIGTERM to the exit, or to the end of the wait for it. */
   readonly tookMs: number;
+  /** Null when the process did not exit in time, or was ended by a signal. */
   readonly exitCode: number | null;
 }
 
+/** Slots of each backend server. */
 const SLOTS = 16;
-/** Long enough that a stop finds work in progress. */
-const WORK_MS = 40;
-const GRACE_MS = 6_000;
+/** Long enough that requests are in progress when a process is stopped. */
+const SERVICE_TIME_MS = 40;
+/** Longest time that a process may take to exit after SIGTERM. */
+const GRACE_PERIOD_MS = 6_000;
 const FIRST_VERSION = 5;
-const NO_VERSION = "00000000";
+const UNSET_VERSION = "00000000";
 
-/** Owns the processes, and does to them what a soak asks for. */
+/** Owns the processes and injects faults into them. */
 export class SoakFleet implements AsyncDisposable {
   readonly members: SoakMember[] = [];
   readonly entries: PlatformNode[] = [];
   readonly stops: PlannedStop[] = [];
-  /** The newest version that was acknowledged. */
+  /** The newest acknowledged version of the routes; 0 before the first. */
   version = 0;
   readonly #fleet = new PlatformFleet();
   readonly #backends: PlatformNode[] = [];
 
-  /** Starts all processes, and puts the first routes in force. */
+  /** Starts all processes and applies the initial routes. */
   static async open(size: SoakSize): Promise<SoakFleet> {
-    const opened = new SoakFleet();
-    await opened.#start(size);
-    return opened;
+    const fleet = new SoakFleet();
+    await fleet.#start(size);
+    return fleet;
   }
 
-  /** Requests that backend servers began to run. */
+  /** Lists the requests that backend servers began to run. */
   listRuns(): readonly BackendRun[] {
     return this.#backends.flatMap(({ backend }) => backend.runs);
   }
 
-  /** Last moment at which any process did not run freely. */
+  /** End of the last disturbance of any process; Infinity during one. */
   get disturbedAtMs(): number {
     return Math.max(...this.members.map((member) => member.disturbedAtMs));
   }
 
-  /** Stands a process still for a time. */
+  /** Suspends a process for a time. */
   async freeze(member: SoakMember, lengthMs: number): Promise<void> {
     await this.#disturb(member, async ({ child }) => {
       child.kill("SIGSTOP");
@@ -82,7 +92,7 @@
     });
   }
 
-  /** Slows a process down by short stops in series. */
+  /** Slows a process down by suspending it repeatedly for short intervals. */
   async slow(member: SoakMember, lengthMs: number): Promise<void> {
     await this.#disturb(member, async ({ child }) => {
       const endMs = performance.now() + lengthMs;
@@ -95,7 +105,7 @@
     });
   }
 
-  /** Kills a process and starts it again after a time. */
+  /** Kills a process and starts its replacement after a time. */
   async kill(member: SoakMember, downMs: number): Promise<void> {
     await this.#disturb(member, async (process) => {
       process.child.kill("SIGKILL");
@@ -105,7 +115,7 @@
     });
   }
 
-  /** Tells a process to stop, notes its end, and starts it again. */
+  /** Stops a process by SIGTERM, records the result, and replaces it. */
   async restart(member: SoakMember): Promise<void> {
     if (member.isBusy) {
       return;
@@ -116,7 +126,7 @@
     process.child.kill("SIGTERM");
     const exitCode = await Promise.race([
       waitForExit(process.child),
-      sleep(2 * GRACE_MS, null, { ref: false }),
+      sleep(2 * GRACE_PERIOD_MS, null, { ref: false }),
     ]);
     const tookMs = Math.round(performance.now() - startedAtMs);
     this.stops.push({ name, tookMs, exitCode });
@@ -126,8 +136,8 @@
     member.isBusy = false;
   }
 
-  /** Puts the next version in force; false where no quorum took it. */
-  async change(): Promise<boolean> {
+  /** Applies the next version of the routes; false if it was not accepted. */
+  async changeRoutes(): Promise<boolean> {
     const version = Math.max(FIRST_VERSION, this.version + 1);
     const base = formatVersion(this.version);
     const status = await this.#fleet.configure(createRoutes(version), base);
@@ -138,7 +148,7 @@
     return true;
   }
 
-  /** Reads the version that a replica can prove to be the newest. */
+  /** Reads the newest version of the routes that a replica can prove. */
   async readVersion(): Promise<number> {
     const text = await this.#fleet.readConfiguration();
     const { version } = JSON.parse(text) as { readonly version?: string };
@@ -154,20 +164,24 @@
 
   async #start({ entries, backends, replicas }: SoakSize): Promise<void> {
     const started = await this.#fleet.startReplicas(replicas);
-    started.forEach((one, at) => this.#add("replica", `replica-${at}`, one));
-    for (let at = 0; at < entries; at += 1) {
+    started.forEach((replica, index) =>
+      this.#add("replica", `replica-${index}`, replica)
+    );
+    for (let index = 0; index < entries; index += 1) {
       const node = await this.#fleet.startNode("front", SLOTS);
       this.entries.push(node);
-      this.#add("node", `entry-${at}`, node);
+      this.#add("node", `entry-${index}`, node);
     }
-    for (let at = 0; at < backends; at += 1) {
+    for (let index = 0; index < backends; index += 1) {
       const node = await this.#fleet.startNode("back", SLOTS);
-      node.backend.serviceTimeMs = WORK_MS;
+      node.backend.serviceTimeMs = SERVICE_TIME_MS;
       this.#backends.push(node);
-      this.#add("node", `back-${at}`, node);
+      this.#add("node", `back-${index}`, node);
     }
-    if (!await this.change()) {
-      throw new Error("The first routes were not taken");
+    if (!await this.changeRoutes()) {
+      throw new Error(
+        "Initial routes were not accepted by the control replicas",
+      );
     }
   }
 
@@ -178,14 +192,14 @@
 
   async #disturb(
     member: SoakMember,
-    work: (process: PlatformProcess) => Promise<void>,
+    injectFault: (process: PlatformProcess) => Promise<void>,
   ): Promise<void> {
     if (member.isBusy) {
       return;
     }
     member.isBusy = true;
     member.disturbedAtMs = Infinity;
-    await work(member.process);
+    await injectFault(member.process);
     member.disturbedAtMs = performance.now();
     member.isBusy = false;
   }
@@ -199,14 +213,14 @@
       service: "back",
       type: "non_idempotent",
     }),
-    // A route of this version alone makes each change a real one.
+    // A route unique to this version, so that the routes of versions differ.
     createRoute({ prefix: `/v${version}/`, service: "back" }),
   ];
   return createConfiguration(formatVersion(version), routes);
 }
 
 function formatVersion(version: number): string {
-  return version === 0 ? NO_VERSION : String(version).padStart(8, "0");
+  return version === 0 ? UNSET_VERSION : String(version).padStart(8, "0");
 }
 
 async function waitForExit(child: ChildProcess): Promise<number | null> {
--- a/soak/soak_run.ts
+++ b/soak/soak_run.ts
@@ -1,37 +1,43 @@
-/** One soak: real processes, callers, and faults drawn by a seed. */
+/**
+ * One soak test: processes, callers, and faults drawn from a generator with a
+ * seed.
+ */
 import { performance } from "node:perf_hooks";
 import { setTimeout as sleep } from "node:timers/promises";
 import { createRandom } from "../src/base/test/seeded_random.ts";
 import type { Random } from "../src/base/test/seeded_random.ts";
 import { waitFor } from "../platform/standin/platform_fleet.ts";
-import { callUntilOver } from "./soak_callers.ts";
+import { callUntilStopped } from "./soak_callers.ts";
 import type { SoakOutcome } from "./soak_callers.ts";
-import { listFaults } from "./soak_checks.ts";
+import { listViolations } from "./soak_checks.ts";
 import type { Disturbance } from "./soak_checks.ts";
 import { SoakFleet } from "./soak_fleet.ts";
 import type { SoakMember, SoakSize } from "./soak_fleet.ts";
 
-/** How a soak is played. */
+/** Parameters of a soak test. */
 export interface SoakOptions extends SoakSize {
   readonly seed: number;
+  /** Duration of fault injection. */
   readonly lengthMs: number;
-  /** Callers at each entry. */
+  /** Callers of each entry node. */
   readonly callers: number;
-  /** Faults that are in progress at a time, at most. */
+  /** Maximum number of faults in progress at the same time. */
   readonly overlapping: number;
 }
 
-/** What came of it. */
+/** The result of a soak test. */
 export interface SoakReport {
   readonly seed: number;
   readonly requests: number;
   readonly answered: number;
   readonly faultsPlayed: number;
+  /** Acknowledged changes of the routes. */
   readonly changes: number;
+  /** Violated invariants, one line each. */
   readonly broken: readonly string[];
 }
 
-/** The size of the short run. */
+/** Parameters of the short soak test. */
 export const SHORT_SOAK = {
   entries: 2,
   backends: 3,
@@ -42,39 +48,39 @@
 } as const;
 
 const WARM_UP_MS = 500;
-const SETTLE_MS = 1_500;
+const RECOVERY_MS = 1_500;
 const MAX_FREEZE_MS = 900;
-const MAX_DOWN_MS = 800;
-const MAX_GAP_MS = 900;
+const MAX_DOWNTIME_MS = 800;
+const MAX_FAULT_INTERVAL_MS = 900;
 
-/** Plays one seed. */
+/** Runs the soak test of one seed. */
 export async function runSoak(options: SoakOptions): Promise<SoakReport> {
   await using fleet = await SoakFleet.open(options);
   const random = createRandom(options.seed);
   const outcomes: SoakOutcome[] = [];
-  let isOver = false;
+  let isStopped = false;
   const callers = startCallers(fleet, options, {
-    isOver: () => isOver,
-    note: (outcome) => outcomes.push(outcome),
+    isStopped: () => isStopped,
+    recordOutcome: (outcome) => outcomes.push(outcome),
   });
   await sleep(WARM_UP_MS);
-  const played = await playFaults(fleet, random, options);
-  await sleep(SETTLE_MS);
+  const injected = await injectFaults(fleet, random, options);
+  await sleep(RECOVERY_MS);
   const broken = [...await listUnrecovered(fleet, outcomes)];
-  isOver = true;
+  isStopped = true;
   await Promise.all(callers);
-  broken.push(...listFaults({
+  broken.push(...listViolations({
     outcomes,
     runs: fleet.listRuns(),
     stops: fleet.stops,
-    disturbances: played.disturbances,
+    disturbances: injected.disturbances,
   }));
   return {
     seed: options.seed,
     requests: outcomes.length,
     answered: outcomes.filter(({ status }) => status === 200).length,
-    faultsPlayed: played.count,
-    changes: played.changes,
+    faultsPlayed: injected.count,
+    changes: injected.changes,
     broken,
   };
 }
@@ -82,73 +88,78 @@
 function startCallers(
   fleet: SoakFleet,
   { callers, seed }: SoakOptions,
-  watch: {
-    readonly isOver: () => boolean;
-    readonly note: (outcome: SoakOutcome) => void;
+  hooks: {
+    readonly isStopped: () => boolean;
+    readonly recordOutcome: (outcome: SoakOutcome) => void;
   },
 ): readonly Promise<void>[] {
   let nextId = 1;
   const createId = () => `s${nextId++}`;
-  return fleet.entries.flatMap(({ callers: entry }, at) =>
-    Array.from({ length: callers }, (_, one) =>
-      callUntilOver({
+  return fleet.entries.flatMap(({ callers: entry }, entryIndex) =>
+    Array.from({ length: callers }, (_, callerIndex) =>
+      callUntilStopped({
         entry,
-        random: createRandom(seed * 1_000 + at * 100 + one),
+        random: createRandom(seed * 1_000 + entryIndex * 100 + callerIndex),
         createId,
-        ...watch,
+        ...hooks,
       }))
   );
 }
 
-interface PlayedFaults {
+interface InjectedFaults {
   readonly count: number;
   readonly changes: number;
   readonly disturbances: readonly Disturbance[];
 }
 
-/** Faults come in series and overlap; each process has one at a time. */
-async function playFaults(
+/**
+ * Injects faults and changes routes at random intervals. Faults of different
+ * processes may overlap; a process has at most one at a time.
+ */
+async function injectFaults(
   fleet: SoakFleet,
   random: Random,
   { lengthMs, overlapping }: SoakOptions,
-): Promise<PlayedFaults> {
+): Promise<InjectedFaults> {
   const endMs = performance.now() + lengthMs;
   const disturbances: Disturbance[] = [];
-  const open = new Set<Promise<void>>();
+  const active = new Set<Promise<void>>();
   let count = 0;
   let changes = 0;
   while (performance.now() < endMs) {
     const member = fleet.members[Math.floor(random() * fleet.members.length)]!;
     const kind = random();
-    const lengthOfFault = random();
-    if (open.size < overlapping && !isQuorumAtRisk(fleet, member)) {
+    const durationRatio = random();
+    if (active.size < overlapping && !isQuorumAtRisk(fleet, member)) {
       const startMs = performance.now();
-      const play = playFault(fleet, member, { kind, lengthOfFault })
+      const injection = injectFault(fleet, member, { kind, durationRatio })
         .then((isPlanned) => {
           if (!isPlanned) {
             disturbances.push({ startMs, endMs: performance.now() });
           }
         })
-        .finally(() => open.delete(play));
-      open.add(play);
+        .finally(() => active.delete(injection));
+      active.add(injection);
       count += 1;
     }
     if (random() < 0.4) {
-      changes += await fleet.change() ? 1 : 0;
+      changes += await fleet.changeRoutes() ? 1 : 0;
     }
-    await sleep(random() * MAX_GAP_MS);
+    await sleep(random() * MAX_FAULT_INTERVAL_MS);
   }
-  await Promise.all(open);
+  await Promise.all(active);
   return { count, changes, disturbances };
 }
 
-/** Plays one fault; whether it was a planned stop. */
-async function playFault(
+/** Injects one fault; returns whether it was a planned stop. */
+async function injectFault(
   fleet: SoakFleet,
   member: SoakMember,
-  { kind, lengthOfFault }: {
+  { kind, durationRatio }: {
+    /** Selects the kind of fault, in [0, 1). */
     readonly kind: number;
-    readonly lengthOfFault: number;
+    /** Scales the duration of the fault, in [0, 1). */
+    readonly durationRatio: number;
   },
 ): Promise<boolean> {
   if (kind < 0.35) {
@@ -156,16 +167,19 @@
     return true;
   }
   if (kind < 0.6) {
-    await fleet.freeze(member, lengthOfFault * MAX_FREEZE_MS);
+    await fleet.freeze(member, durationRatio * MAX_FREEZE_MS);
   } else if (kind < 0.8) {
-    await fleet.slow(member, lengthOfFault * 2 * MAX_FREEZE_MS);
+    await fleet.slow(member, durationRatio * 2 * MAX_FREEZE_MS);
   } else {
-    await fleet.kill(member, lengthOfFault * MAX_DOWN_MS);
+    await fleet.kill(member, durationRatio * MAX_DOWNTIME_MS);
   }
   return false;
 }
 
-/** Whether fewer than most of the replicas would run. */
+/**
+ * Whether the process already has a fault, or a fault of it would leave the
+ * control replicas without a majority.
+ */
 function isQuorumAtRisk(fleet: SoakFleet, member: SoakMember): boolean {
   const replicas = fleet.members.filter(({ role }) => role === "replica");
   const busy = replicas.filter(({ isBusy }) => isBusy).length;
@@ -173,17 +187,20 @@
     member.role === "replica" && 2 * (busy + 1) >= replicas.length;
 }
 
-/** Once nothing is disturbed, each entry serves, and no change is lost. */
+/**
+ * Lists entry nodes that do not serve requests after the faults have ended, and
+ * an acknowledged change of the routes that was lost.
+ */
 async function listUnrecovered(
   fleet: SoakFleet,
   outcomes: readonly SoakOutcome[],
 ): Promise<readonly string[]> {
-  const sinceMs = performance.now();
+  const recoveryStartMs = performance.now();
   const broken: string[] = [];
   for (const { callers } of fleet.entries) {
     const isServed = () =>
       outcomes.some(({ entry, status, sentAtMs }) =>
-        entry === callers && status === 200 && sentAtMs > sinceMs
+        entry === callers && status === 200 && sentAtMs > recoveryStartMs
       );
     await waitFor(isServed)
       .catch(() => broken.push(`entry ${callers} serves nothing in calm`));
--- a/soak/tree_soak.ts
+++ b/soak/tree_soak.ts
@@ -1,6 +1,7 @@
 /**
- * One soak of a call tree: real processes, callers at several levels, and
- * answers lost, nodes frozen and killed as a seed draws them.
+ * One soak test of a call tree: processes, callers at several levels, and
+ * faults drawn from a generator with a seed: lost answers, and frozen or
+ * restarted nodes.
  */
 import { performance } from "node:perf_hooks";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -14,53 +15,61 @@
 import { findWorstWindows } from "../standin/retry_windows.ts";
 import type { WorstWindow } from "../standin/retry_windows.ts";
 
-/** How a soak is played. */
+/** Parameters of a soak test of a call tree. */
 export interface TreeSoakOptions {
   readonly seed: number;
   readonly nodesPerService: number;
+  /** Duration of fault injection. */
   readonly lengthMs: number;
-  /** Faults that are in progress at a time, at most. */
+  /** Maximum number of faults in progress at the same time. */
   readonly overlapping: number;
 }
 
-/** What came of it. */
+/** The result of a soak test of a call tree. */
 export interface TreeSoakReport {
   readonly seed: number;
   readonly requests: number;
   readonly answered: number;
   readonly faultsPlayed: number;
+  /** For each service with repeats, the window closest to its retry budget. */
   readonly worst: readonly WorstWindow[];
+  /** Violated invariants, one line each. */
   readonly broken: readonly string[];
 }
 
-/** The size of the short run. */
+/** Parameters of the short soak test of a call tree. */
 export const SHORT_TREE_SOAK = {
   nodesPerService: 2,
   lengthMs: 16_000,
   overlapping: 2,
 } as const;
 
+/** Services from the root down, each with its number of downstream calls. */
 const LEVELS = [
   { service: "top", calls: 2 },
   { service: "upper", calls: 1 },
   { service: "lower", calls: 4 },
   { service: "bottom", calls: 0 },
 ];
-/** Requests of callers a second, by service. */
-const RATES = [["top", 24], ["lower", 6], ["bottom", 8]] as const;
-/** The budget in the settings of the fleet. */
-const TERMS = { ratio: 0.2, slack: 49, windowMs: 10_000 };
+/** Requests per second that callers send, by service. */
+const REQUEST_RATES = [["top", 24], ["lower", 6], ["bottom", 8]] as const;
+/** The retry budget in the settings of the fleet. */
+const RETRY_TERMS = { ratio: 0.2, slack: 49, windowMs: 10_000 };
 const SLOTS = 64;
-const CALM_MS = 4_000;
-const MAX_GAP_MS = 700;
-const MAX_LOSS_MS = 5_000;
+/** Time with load but no faults at the start. */
+const FAULT_FREE_MS = 4_000;
+const MAX_FAULT_INTERVAL_MS = 700;
+const MAX_ANSWER_LOSS_MS = 5_000;
 const MAX_FREEZE_MS = 900;
-/** Most of all requests that may be refused or fail. */
-const MAX_UNSERVED = 0.6;
-/** Each kind of request is served this often at least, as a part of all. */
-const LEAST_PART = 0.25;
+/** Highest share of all requests that may be refused or fail. */
+const MAX_UNSERVED_RATIO = 0.6;
+/**
+ * Lowest share of served requests of one kind, as a ratio of the share of
+ * served requests of all kinds. A kind below it is starved.
+ */
+const MIN_SERVED_RATIO = 0.25;
 
-/** Plays one seed. */
+/** Runs the soak test of one seed. */
 export async function runTreeSoak(
   options: TreeSoakOptions,
 ): Promise<TreeSoakReport> {
@@ -72,14 +81,14 @@
     slots: SLOTS,
     draw: createRandom(seed + 1),
   });
-  const load = { lengthMs: CALM_MS + lengthMs };
-  const callers = RATES.map(([service, perSecond]) =>
+  const load = { lengthMs: FAULT_FREE_MS + lengthMs };
+  const callers = REQUEST_RATES.map(([service, perSecond]) =>
     fleet.call(service, { ...load, perSecond })
   );
-  await sleep(CALM_MS);
-  const faultsPlayed = await playFaults(fleet, random, options);
+  await sleep(FAULT_FREE_MS);
+  const faultsPlayed = await injectFaults(fleet, random, options);
   await Promise.all(callers);
-  const worst = findWorstWindows(fleet.listArrivals(), TERMS);
+  const worst = findWorstWindows(fleet.listArrivals(), RETRY_TERMS);
   const { outcomes } = fleet;
   return {
     seed,
@@ -97,48 +106,51 @@
   };
 }
 
-async function playFaults(
+async function injectFaults(
   fleet: CallTreeFleet,
   random: Random,
   { lengthMs, overlapping, nodesPerService }: TreeSoakOptions,
 ): Promise<number> {
   const endMs = performance.now() + lengthMs;
-  const open = new Set<Promise<void>>();
-  const busy = new Set<string>();
+  const active = new Set<Promise<void>>();
+  const faultyServices = new Set<string>();
   let count = 0;
   while (performance.now() < endMs) {
     const { service } = LEVELS[Math.floor(random() * LEVELS.length)]!;
     const member = { service, index: Math.floor(random() * nodesPerService) };
     const [kind, strength, length] = [random(), random(), random()];
-    if (open.size < overlapping && !busy.has(service)) {
-      busy.add(service);
-      const play = playFault(fleet, member, { kind, strength, length })
+    if (active.size < overlapping && !faultyServices.has(service)) {
+      faultyServices.add(service);
+      const injection = injectFault(fleet, member, { kind, strength, length })
         .finally(() => {
-          busy.delete(service);
-          open.delete(play);
+          faultyServices.delete(service);
+          active.delete(injection);
         });
-      open.add(play);
+      active.add(injection);
       count += 1;
     }
-    await sleep(random() * MAX_GAP_MS);
+    await sleep(random() * MAX_FAULT_INTERVAL_MS);
   }
-  await Promise.all(open);
+  await Promise.all(active);
   return count;
 }
 
-async function playFault(
+async function injectFault(
   fleet: CallTreeFleet,
   member: TreeMember,
   { kind, strength, length }: {
+    /** Selects the kind of fault, in [0, 1). */
     readonly kind: number;
+    /** Scales the share of lost answers, in [0, 1). */
     readonly strength: number;
+    /** Scales the duration of the fault, in [0, 1). */
     readonly length: number;
   },
 ): Promise<void> {
   if (kind < 0.5) {
     const nodes = kind < 0.25 ? fleet.nodes : fleet.listNodes(member.service);
     fleet.loseAnswers(strength / 3, nodes);
-    await sleep(length * MAX_LOSS_MS);
+    await sleep(length * MAX_ANSWER_LOSS_MS);
     fleet.loseAnswers(0, nodes);
   } else if (kind < 0.8) {
     await fleet.pause(member, length * MAX_FREEZE_MS);
@@ -147,22 +159,24 @@
   }
 }
 
-/** Too few served of all, or of one kind of request. */
+/** Lists too low shares of served requests, over all or of one kind. */
 function listUnserved(outcomes: readonly TreeOutcome[]): readonly string[] {
-  const all = computeServed(outcomes);
-  const short = 1 - all > MAX_UNSERVED ? [`only ${all} of all served`] : [];
-  const starved = RATES.flatMap(([service]) => {
-    const served = computeServed(
+  const overallRatio = computeServedRatio(outcomes);
+  const shortages = 1 - overallRatio > MAX_UNSERVED_RATIO
+    ? [`only ${overallRatio} of all served`]
+    : [];
+  const starved = REQUEST_RATES.flatMap(([service]) => {
+    const servedRatio = computeServedRatio(
       outcomes.filter((outcome) => outcome.service === service),
     );
-    return served < LEAST_PART * all
-      ? [`${service} starved: ${served} served, ${all} of all`]
+    return servedRatio < MIN_SERVED_RATIO * overallRatio
+      ? [`${service} starved: ${servedRatio} served, ${overallRatio} of all`]
       : [];
   });
-  return [...short, ...starved];
+  return [...shortages, ...starved];
 }
 
-function computeServed(outcomes: readonly TreeOutcome[]): number {
+function computeServedRatio(outcomes: readonly TreeOutcome[]): number {
   return outcomes.filter(isServed).length / Math.max(1, outcomes.length);
 }
 
