--- a/standin/backend.ts
+++ b/standin/backend.ts
@@ -1,8 +1,8 @@
 /**
- * A stand-in backend server: slots, service time, cold start, drain, shedding,
- * crashes, freezes, a load endpoint that may mislead, and downstream calls
- * that copy the request context. One small HTTP server; used by tests, the
- * demo and the benches.
+ * A stand-in backend server for tests, demos and benchmarks: an HTTP server
+ * that simulates slots, service time, cold start, drain, load shedding,
+ * crashes, freezes, a wrong load report, and downstream calls that copy the
+ * request context.
  */
 import { createHash } from "node:crypto";
 import { createServer } from "node:http";
@@ -13,35 +13,38 @@
 import { Agent, request as send } from "undici";
 import { CONTEXT_HEADER } from "../src/engine/call/common/call_context.ts";
 
-/** What `POST /standin/behaviour` changes while the stand-in runs. */
+/** Behaviour of the stand-in, as `POST /standin/behaviour` changes it. */
 export interface Behaviour {
-  /** Time that one request takes, in milliseconds. */
+  /** Service time of a request in milliseconds. */
   readonly serviceMs: number;
-  /** Service time is this many times longer just after the start. */
+  /** Factor of the service time during the cold start. */
   readonly coldFactor: number;
-  /** How long the cold start lasts, in milliseconds. */
+  /** Duration of the cold start in milliseconds. */
   readonly coldMs: number;
-  /** Requests beyond `slots` wait; beyond this many they get 503. */
+  /** Maximum number of requests that wait for a slot; further ones get 503. */
   readonly queue: number;
-  /** Takes requests and never answers. */
+  /** Whether requests are accepted and never answered. */
   readonly isFrozen: boolean;
-  /** Goes on when whoever called has left. */
+  /** Whether a request continues to run after its caller has disconnected. */
   readonly ignoresCancel: boolean;
-  /** Path prefix of requests that end the process; empty for none. */
+  /** Path prefix of requests that crash the process; empty for none. */
   readonly crashPath: string;
-  /** What `GET /load` reports; undefined for the truth. */
+  /** Load that `GET /load` reports; undefined for the actual one. */
   readonly reportedLoad: number | undefined;
-  /** `GET /load` never answers. */
+  /** Whether `GET /load` is never answered. */
   readonly isLoadFrozen: boolean;
-  /** What `GET /health` reports. */
+  /** Health that `GET /health` reports. */
   readonly isHealthy: boolean;
 }
 
-/** What `GET /standin/runs` reports. */
+/** The answer of `GET /standin/runs`. */
 export interface RunReport {
+  /** Requests whose run has started since the process started. */
   readonly started: number;
   readonly finished: number;
+  /** Runs aborted by the caller's disconnect or by a connection error. */
   readonly cancelled: number;
+  /** Slots in use. */
   readonly running: number;
   /** Runs by `Idempotency-Key`, or by path where there is none. */
   readonly byKey: Readonly<Record<string, number>>;
@@ -65,19 +68,27 @@
   readonly egress: string;
   readonly slots: string;
   readonly behaviour: string;
-  /** JSON: paths called downstream by method and path prefix. */
+  /** JSON: downstream paths that a request calls, by method and path prefix. */
   readonly downstream: string;
-  /** JSON: addresses called without a node, by path prefix. */
+  /** JSON: addresses that are called without a node, by path prefix. */
   readonly direct: string;
 }
 
 const options = new Command("backend")
   .requiredOption("--listen <address>", "host:port")
-  .option("--egress <address>", "egress listener of the node beside it", "")
-  .option("--slots <count>", "requests run at a time", "50")
-  .option("--behaviour <json>", "see Behaviour", "{}")
-  .option("--downstream <json>", "see Downstream", "{}")
-  .option("--direct <json>", "addresses called without a node", "{}")
+  .option("--egress <address>", "egress listener of its node", "")
+  .option("--slots <count>", "maximum number of concurrent requests", "50")
+  .option("--behaviour <json>", "initial behaviour, see Behaviour", "{}")
+  .option(
+    "--downstream <json>",
+    "downstream paths by method and path prefix",
+    "{}",
+  )
+  .option(
+    "--direct <json>",
+    "addresses called without a node, by path prefix",
+    "{}",
+  )
   .parse().opts<Options>();
 
 const slots = Number(options.slots);
@@ -85,7 +96,7 @@
 const downstream = JSON.parse(options.downstream) as Record<string, string[]>;
 const direct = JSON.parse(options.direct) as Record<string, string[]>;
 const agent = new Agent({ connections: 256 });
-const waiting: (() => void)[] = [];
+const slotQueue: (() => void)[] = [];
 const byKey = new Map<string, number>();
 const counts = { started: 0, finished: 0, cancelled: 0, running: 0 };
 let behaviour: Behaviour = {
@@ -114,21 +125,21 @@
   return Buffer.concat(chunks);
 }
 
-async function takeSlot(): Promise<boolean> {
+async function acquireSlot(): Promise<boolean> {
   if (counts.running < slots) {
     counts.running += 1;
     return true;
   }
-  if (waiting.length >= behaviour.queue) {
+  if (slotQueue.length >= behaviour.queue) {
     return false;
   }
-  await new Promise<void>((resolve) => waiting.push(resolve));
+  await new Promise<void>((resolve) => slotQueue.push(resolve));
   return true;
 }
 
-/** Hands the slot to the next in line, or frees it. */
+/** Passes the slot to the next queued request, or frees it. */
 function releaseSlot(): void {
-  const next = waiting.shift();
+  const next = slotQueue.shift();
   if (next === undefined) {
     counts.running -= 1;
     return;
@@ -136,15 +147,16 @@
   next();
 }
 
+/** The header `x-standin-ms` overrides the service time of the behaviour. */
 function computeServiceMs(request: IncomingMessage): number {
-  const wanted = request.headers["x-standin-ms"];
+  const requestedMs = request.headers["x-standin-ms"];
   const isCold = Date.now() - startedAtMs < behaviour.coldMs;
   const factor = isCold ? behaviour.coldFactor : 1;
-  return Number(wanted ?? behaviour.serviceMs) * factor;
+  return Number(requestedMs ?? behaviour.serviceMs) * factor;
 }
 
-/** The egress of the node beside it, or a random address of `--direct`. */
-function findTarget(path: string): string {
+/** Selects a random address of `--direct`, or the node's egress listener. */
+function selectTarget(path: string): string {
   const prefix = Object.keys(direct).find((key) => path.startsWith(key));
   const addresses = prefix === undefined ? [] : direct[prefix]!;
   const index = Math.floor(Math.random() * addresses.length);
@@ -160,7 +172,7 @@
   const paths = prefix === undefined ? [] : downstream[prefix]!;
   const context = request.headers[CONTEXT_HEADER];
   return await Promise.all(paths.map(async (path) => {
-    const answer = await send(`http://${findTarget(path)}${path}`, {
+    const answer = await send(`http://${selectTarget(path)}${path}`, {
       dispatcher: agent,
       signal,
       headers: context === undefined ? {} : { [CONTEXT_HEADER]: context },
@@ -170,7 +182,11 @@
   }));
 }
 
-async function run(
+/**
+ * Runs a request. The header `x-standin-bytes` sets the size of the answer's
+ * filler; `x-standin-cut` truncates the answer by closing the connection.
+ */
+async function runRequest(
   request: IncomingMessage,
   response: ServerResponse,
   signal: AbortSignal,
@@ -204,7 +220,7 @@
   });
 }
 
-async function serve(
+async function serveRequest(
   request: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
@@ -214,18 +230,18 @@
   if (behaviour.isFrozen) {
     return;
   }
-  const cancel = new AbortController();
+  const controller = new AbortController();
   response.on("close", () => {
     if (!response.writableFinished && !behaviour.ignoresCancel) {
-      cancel.abort();
+      controller.abort();
     }
   });
-  if (!await takeSlot()) {
+  if (!await acquireSlot()) {
     writeJson(response, 503, { message: "Backend server sheds load" });
     return;
   }
   try {
-    await run(request, response, cancel.signal);
+    await runRequest(request, response, controller.signal);
   } catch {
     counts.cancelled += 1;
     response.destroy();
@@ -234,7 +250,8 @@
   }
 }
 
-async function answerStandin(
+/** Answers the stand-in's own endpoints, and serves all other requests. */
+async function handleRequest(
   request: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
@@ -262,13 +279,13 @@
         byKey: Object.fromEntries(byKey),
       });
     default:
-      return await serve(request, response);
+      return await serveRequest(request, response);
   }
 }
 
 const [host, port] = options.listen.split(":");
 const server = createServer((request, response) => {
-  answerStandin(request, response).catch(() => response.destroy());
+  handleRequest(request, response).catch(() => response.destroy());
 });
 server.keepAliveTimeout = 60_000;
 server.listen(Number(port), host, () => {
--- a/standin/fleet.ts
+++ b/standin/fleet.ts
@@ -1,4 +1,4 @@
-/** Starts the product's processes and stand-ins on loopback, and ends them. */
+/** Starts and stops nodes, control replicas and stand-ins on loopback. */
 import { createHash } from "node:crypto";
 import { spawn } from "node:child_process";
 import type { ChildProcess } from "node:child_process";
@@ -13,21 +13,21 @@
 import type { Behaviour, RunReport } from "./backend.ts";
 import { findAddress } from "./ports.ts";
 
-/** One started process. */
+/** A started process. */
 export interface FleetProcess {
   readonly id: string;
   readonly child: ChildProcess;
-  /** Lines of standard error, newest last. */
+  /** The last lines of standard output and standard error, newest last. */
   readonly log: readonly string[];
 }
 
-/** A control replica and where it listens. */
+/** A control replica and the `host:port` of its listeners. */
 export interface FleetControl extends FleetProcess {
   readonly link: string;
   readonly operator: string;
 }
 
-/** A node, its backend server and where they listen. */
+/** A node, its backend server and the `host:port` of their listeners. */
 export interface FleetNode extends FleetProcess {
   readonly service: string;
   readonly edge: string;
@@ -38,63 +38,67 @@
   readonly backendAddress: string;
 }
 
-/** What a node and its backend server are started with. */
+/** Options of a node and its backend server. */
 export interface FleetNodeOptions {
   readonly id: string;
   readonly service: string;
   readonly dataCentre: string;
   readonly slots?: number;
-  /** `host:port` where other nodes reach this one, if not its listener. */
+  /** `host:port` that other nodes connect to; by default the ingress. */
   readonly advertise?: string;
   readonly behaviour?: Partial<Behaviour>;
-  /** Flags of the node's runtime. */
+  /** Flags of the node's runtime, Node.js. */
   readonly flags?: readonly string[];
-  /** Paths called downstream by `METHOD /prefix`. */
+  /** Downstream paths that a request calls, by `METHOD /prefix`. */
   readonly downstream?: Readonly<Record<string, readonly string[]>>;
-  /** Has the node ask the endpoints of its backend server. */
+  /** Whether the node polls the health and load of its backend server. */
   readonly hasHints?: boolean;
-  /** File that the node records its events to. */
+  /** Trace file that the node records its events in. */
   readonly trace?: string;
-  /** Link addresses of control replicas, if not those of the fleet. */
+  /** Link addresses of control replicas; by default those of the fleet. */
   readonly replicas?: readonly string[];
 }
 
-/** What a finished command printed. */
+/** Exit code and output of a finished command. */
 export interface CommandResult {
   readonly exitCode: number;
   readonly stdout: string;
   readonly stderr: string;
 }
 
-/** What a fleet is protected by; plain text and no credentials without. */
+/** Security of a fleet; by default plain text without credentials. */
 export interface FleetOptions {
-  /** TLS by the test certificates. */
+  /** Whether connections use TLS with the test certificates. */
   readonly isTls?: boolean;
-  /** Whether callers reach the edge by TLS too. */
+  /** Whether the edge listener uses TLS too. */
   readonly isEdgeTls?: boolean;
-  /** Operators' tokens by name. */
+  /** Tokens by operator name. */
   readonly tokens?: Readonly<Record<string, string>>;
 }
 
 const ROOT = fileURLToPath(new URL("..", import.meta.url));
-const START_MS = 15_000;
-const POLL_MS = 20;
+const START_TIMEOUT_MS = 15_000;
+const POLL_INTERVAL_MS = 20;
 const MAX_LOG_LINES = 2_000;
-const HINT_PATHS = { health_path: "/health", load_path: "/load" };
+const BACKEND_HINT_PATHS = { health_path: "/health", load_path: "/load" };
+/** Possible numbers of voters, largest first. */
 const VOTER_COUNTS = [5, 3, 1];
 
-/** Names a file of the test certificates, which are not built. */
+/**
+ * Returns the path of a test certificate or key. The build does not copy these,
+ * so the path is in the source folder.
+ */
 export function findCertificate(name: string): string {
   return join(ROOT, "..", "standin", "certificates", `${name}.pem`);
 }
 
-/** Owns the processes that it started and a folder for their files. */
+/** Owns the processes that it starts and a temporary folder for their files. */
 export class Fleet implements AsyncDisposable {
   readonly folder = mkdtempSync(join(tmpdir(), "basilpin-"));
   readonly #children = new Set<ChildProcess>();
   readonly #controls: FleetControl[] = [];
   readonly #options: FleetOptions;
-  /** Asks operators' listeners; trusts the authority of the tests. */
+  /** Client of operator listeners; trusts the test authority. */
   readonly #agent = new Agent({
     connect: {
       ca: readFileSync(findCertificate("authority")),
@@ -106,17 +110,17 @@
     this.#options = options;
   }
 
-  /** Operator addresses of the control replicas, as the CLI takes them. */
+  /** Operator addresses of the control replicas, in the format of the CLI. */
   get controlAddresses(): string {
     return this.#controls.map((control) => control.operator).join(",");
   }
 
-  /** File in the fleet's folder that a control replica records to. */
+  /** Returns the path of a control replica's trace file. */
   findTrace(id: string): string {
     return join(this.folder, `${id}.trace`);
   }
 
-  /** Makes a control replica record its events from its next start on. */
+  /** Enables the trace of a control replica, effective at its next start. */
   recordControl(control: FleetControl): void {
     const file = join(this.folder, `${control.id}.toml`);
     const settings = parse(readFileSync(file, "utf8"));
@@ -124,20 +128,26 @@
     writeFileSync(file, stringify({ ...settings, trace }));
   }
 
-  /** Starts control replicas, the first 5, 3 or 1 voting; waits for all. */
+  /**
+   * Starts control replicas, and waits until all are ready. The first 5, 3 or 1
+   * of them are voters, the others learners.
+   */
   async startControls(
     replicas: readonly (readonly [id: string, dataCentre: string])[],
   ): Promise<readonly FleetControl[]> {
     const links = await Promise.all(replicas.map(() => findAddress()));
-    const places = replicas.map(([id], at) => ({ id, link: links[at]! }));
-    const count = VOTER_COUNTS.find((n) => n <= places.length)!;
+    const members = replicas.map(([id], index) => ({
+      id,
+      link: links[index]!,
+    }));
+    const count = VOTER_COUNTS.find((n) => n <= members.length)!;
     const cluster = {
-      voters: places.slice(0, count),
-      learners: places.slice(count),
+      voters: members.slice(0, count),
+      learners: members.slice(count),
     };
     const started = await Promise.all(
-      replicas.map(([id, dataCentre], at) =>
-        this.#openControl({ id, dataCentre, link: links[at]!, cluster })
+      replicas.map(([id, dataCentre], index) =>
+        this.#spawnControl({ id, dataCentre, link: links[index]!, cluster })
       ),
     );
     this.#controls.push(...started);
@@ -145,24 +155,24 @@
     return started;
   }
 
-  /** Starts a control replica that votes alone, and waits until it serves. */
+  /** Starts a control replica as the only voter; waits until it is ready. */
   async startControl(id: string, dataCentre: string): Promise<FleetControl> {
     const link = await findAddress();
     const cluster = { voters: [{ id, link }] };
-    const started = await this.#openControl({ id, dataCentre, link, cluster });
+    const started = await this.#spawnControl({ id, dataCentre, link, cluster });
     this.#controls.push(started);
     await this.#waitReady(started.operator);
     return started;
   }
 
-  /** Starts a control replica again that was stopped, on its settings. */
+  /** Restarts a stopped control replica with its settings file. */
   async restartControl(control: FleetControl): Promise<FleetControl> {
     const { id, link, operator } = control;
     const settings = join(this.folder, `${id}.toml`);
     return { ...await this.startDaemon(id, settings), link, operator };
   }
 
-  /** Starts a backend server and the node beside it. */
+  /** Starts a backend server and its node, and waits until that is a member. */
   async startNode(options: FleetNodeOptions): Promise<FleetNode> {
     const { id, service, dataCentre, slots = 50 } = options;
     const [edge, egress, ingress, operator, backendAddress] = await Promise.all(
@@ -189,7 +199,7 @@
         address: backendAddress,
         slots,
         connections: 400,
-        ...(options.hasHints === true ? HINT_PATHS : {}),
+        ...(options.hasHints === true ? BACKEND_HINT_PATHS : {}),
       },
       control: {
         replicas: options.replicas ??
@@ -213,35 +223,35 @@
   }
 
   /**
-   * Waits until every control replica that answers lists a node: callers may
-   * hold their link to any of them, and hear of the node from that one only.
+   * Waits until every control replica that answers lists a node: a caller may
+   * be linked to any of them, and receives the members from that one only.
    */
   async waitMember(nodeId: string): Promise<void> {
-    const endMs = Date.now() + START_MS;
+    const endMs = Date.now() + START_TIMEOUT_MS;
     while (Date.now() < endMs) {
       const reports = await Promise.all(
         this.#controls.map(({ operator }) =>
-          this.#ask(operator, "/status")
+          this.#request(operator, "/status")
             .then(({ body }) => body.text(), () => undefined)
         ),
       );
-      const heard = reports.filter((report) => report !== undefined);
+      const received = reports.filter((report) => report !== undefined);
       const isListed = (report: string) =>
         report.includes(`"nodeId":"${nodeId}"`);
-      if (heard.length > 0 && heard.every(isListed)) {
+      if (received.length > 0 && received.every(isListed)) {
         return;
       }
-      await sleep(POLL_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
-    throw new Error(`${nodeId} did not become a member in time`);
+    throw new Error(`${nodeId} was not listed by the control replicas in time`);
   }
 
-  /** Starts a stand-in backend server alone. */
+  /** Starts a stand-in backend server without a node. */
   async startBackend(
     options: Omit<FleetNodeOptions, "service" | "dataCentre"> & {
       readonly address: string;
       readonly egress: string;
-      /** Addresses by path prefix that it calls itself, without a node. */
+      /** Addresses that it calls without a node, by path prefix. */
       readonly direct?: Readonly<Record<string, readonly string[]>>;
     },
   ): Promise<FleetProcess> {
@@ -263,7 +273,7 @@
     ]);
   }
 
-  /** Starts `basilpind` on a settings file. */
+  /** Starts `basilpind` with a settings file. */
   async startDaemon(
     id: string,
     settings: string,
@@ -273,7 +283,7 @@
     return await this.start(id, [...flags, main, "--settings", settings]);
   }
 
-  /** Starts a built program of this repository by its path in it. */
+  /** Starts a built program, given its path in the build output. */
   async startProgram(
     id: string,
     args: readonly [string, ...string[]],
@@ -282,14 +292,14 @@
     return await this.start(id, [join(ROOT, program), ...rest]);
   }
 
-  /** Writes a settings file and returns its name. */
+  /** Writes a settings file and returns its path. */
   writeSettings(id: string, settings: object): string {
     const file = join(this.folder, `${id}.toml`);
     writeFileSync(file, stringify(settings));
     return file;
   }
 
-  /** Starts a program of this repository; resolves when it says it is up. */
+  /** Starts a Node.js program; resolves when it prints a line with `is up`. */
   async start(id: string, args: readonly string[]): Promise<FleetProcess> {
     const child = spawn(process.execPath, args, {
       stdio: ["ignore", "pipe", "pipe"],
@@ -301,19 +311,19 @@
       log.push(...data.toString().split("\n").filter((line) => line !== ""));
       log.splice(0, log.length - MAX_LOG_LINES);
     };
-    // Logs go to standard output, what stops a start to standard error.
+    // Logs go to standard output, errors that prevent a start to stderr.
     child.stdout.on("data", collect);
     child.stderr.on("data", collect);
-    await waitUp(child, id, log);
+    await waitForStart(child, id, log);
     return { id, child, log };
   }
 
-  /** Runs the `basilpin` command against the fleet's control replicas. */
+  /** Runs the `basilpin` command with the addresses of the control replicas. */
   async run(...args: readonly string[]): Promise<CommandResult> {
     return await this.runProgram("src/cli/main.js", ...args);
   }
 
-  /** Runs a built program of this repository to its end. */
+  /** Runs a built program, and waits for its exit. */
   async runProgram(
     program: string,
     ...args: readonly string[]
@@ -333,28 +343,28 @@
     let stderr = "";
     child.stdout.on("data", (data: Buffer) => stdout += data.toString());
     child.stderr.on("data", (data: Buffer) => stderr += data.toString());
-    const exitCode = await waitExit(child);
+    const exitCode = await waitForExit(child);
     this.#children.delete(child);
     return { exitCode, stdout, stderr };
   }
 
-  /** Sends a signal and waits for the end of the process. */
+  /** Sends a signal to a process and waits for its exit. */
   async stop(
     target: FleetProcess,
     signal: NodeJS.Signals = "SIGTERM",
   ): Promise<number> {
-    const exited = waitExit(target.child);
+    const exited = waitForExit(target.child);
     target.child.kill(signal);
     return await exited;
   }
 
-  async #openControl(place: {
+  async #spawnControl(options: {
     readonly id: string;
     readonly dataCentre: string;
     readonly link: string;
     readonly cluster: object;
   }): Promise<FleetControl> {
-    const { id, dataCentre, link, cluster } = place;
+    const { id, dataCentre, link, cluster } = options;
     const operator = await findAddress();
     const settings = this.writeSettings(id, {
       role: "control",
@@ -371,6 +381,7 @@
     return { ...started, link, operator };
   }
 
+  /** Creates the sections `security` and `operators` of the settings. */
   #createSecurity(role: "node" | "control"): object {
     const { isTls = false, isEdgeTls = false, tokens } = this.#options;
     const security = isTls
@@ -390,6 +401,7 @@
     };
   }
 
+  /** Writes the operators file, which holds the SHA-256 digests of tokens. */
   #writeCredentials(tokens: Readonly<Record<string, string>>): string {
     const entries = Object.entries(tokens).map(([name, token]) => [
       name,
@@ -398,7 +410,7 @@
     return this.writeSettings("operators", Object.fromEntries(entries));
   }
 
-  async #ask(operator: string, path: string) {
+  async #request(operator: string, path: string) {
     const scheme = this.#options.isTls === true ? "https" : "http";
     return await request(`${scheme}://${operator}${path}`, {
       dispatcher: this.#agent,
@@ -406,13 +418,13 @@
   }
 
   #waitReady(operator: string): Promise<void> {
-    return waitAnswer(operator, () => this.#ask(operator, "/readyz"));
+    return waitUntilReady(operator, () => this.#request(operator, "/readyz"));
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     await this.#agent.destroy();
     const exits = [...this.#children].map((child) => {
-      const exited = waitExit(child);
+      const exited = waitForExit(child);
       child.kill("SIGKILL");
       return exited;
     });
@@ -433,24 +445,24 @@
   await answer.body.dump();
 }
 
-/** Reads what a stand-in backend server has run. */
+/** Reads the run counts of a stand-in backend server. */
 export async function readRuns(address: string): Promise<RunReport> {
   const answer = await request(`http://${address}/standin/runs`);
   return await answer.body.json() as RunReport;
 }
 
-/** Waits until a process says that it is ready. */
+/** Waits until `GET /readyz` of an operator listener is answered by 200. */
 export function waitReady(operator: string): Promise<void> {
-  return waitAnswer(operator, () => request(`http://${operator}/readyz`));
+  return waitUntilReady(operator, () => request(`http://${operator}/readyz`));
 }
 
-async function waitAnswer(
+async function waitUntilReady(
   operator: string,
-  ask: () => ReturnType<typeof request>,
+  sendRequest: () => ReturnType<typeof request>,
 ): Promise<void> {
-  const endMs = Date.now() + START_MS;
+  const endMs = Date.now() + START_TIMEOUT_MS;
   while (Date.now() < endMs) {
-    const status = await ask().then(
+    const status = await sendRequest().then(
       async ({ statusCode, body }) => {
         await body.dump();
         return statusCode;
@@ -460,12 +472,13 @@
     if (status === 200) {
       return;
     }
-    await sleep(POLL_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
   throw new Error(`${operator} did not become ready in time`);
 }
 
-function waitExit(child: ChildProcess): Promise<number> {
+/** Waits for an exit and returns the exit code; -1 when ended by a signal. */
+function waitForExit(child: ChildProcess): Promise<number> {
   if (child.exitCode !== null || child.signalCode !== null) {
     return Promise.resolve(child.exitCode ?? -1);
   }
@@ -474,15 +487,18 @@
   });
 }
 
-function waitUp(
+function waitForStart(
   child: ChildProcess,
   id: string,
   log: readonly string[],
 ): Promise<void> {
   return new Promise((resolve, reject) => {
-    const fail = (why: string) =>
-      reject(new Error(`${id} ${why}: ${log.join("\n")}`));
-    const timer = setTimeout(() => fail("did not start in time"), START_MS);
+    const fail = (reason: string) =>
+      reject(new Error(`${id} ${reason}: ${log.join("\n")}`));
+    const timer = setTimeout(
+      () => fail("did not start in time"),
+      START_TIMEOUT_MS,
+    );
     child.on("exit", (code) => {
       clearTimeout(timer);
       fail(`ended with ${code}`);
--- a/standin/leaving_callers.ts
+++ b/standin/leaving_callers.ts
@@ -1,12 +1,13 @@
-/** Callers that leave soon, while a process is stopped by a signal. */
+/** Callers that disconnect early, and processes suspended by SIGSTOP. */
 import type { ChildProcess } from "node:child_process";
 import { connect } from "node:net";
 import type { Socket } from "node:net";
 import { performance } from "node:perf_hooks";
 import { setTimeout as sleep } from "node:timers/promises";
 
-const STOPPED_MS = 600;
-/** How long callers stay. */
+/** Shortest time that `stopDuring` suspends a process. */
+const MIN_STOP_MS = 600;
+/** Time after which the callers of `leaveSoon` disconnect. */
 export const STAY_MS = 130;
 
 /** Opens connections to a `host:port`. */
@@ -19,7 +20,7 @@
   );
 }
 
-/** Sends a request on each connection, and closes them after a while. */
+/** Sends a request on each connection, and closes them after `STAY_MS`. */
 export async function leaveSoon(
   sockets: readonly Socket[],
   formatRequest: (index: number) => string,
@@ -29,33 +30,36 @@
   sockets.forEach((socket) => socket.destroy());
 }
 
-/** Stops a process while `work` is done, for 600 ms at least. */
+/** Suspends a process while `work` runs, for at least 600 ms. */
 export async function stopDuring(
   child: ChildProcess,
   work: () => Promise<void>,
 ): Promise<void> {
   child.kill("SIGSTOP");
   try {
-    await Promise.all([work(), sleep(STOPPED_MS)]);
+    await Promise.all([work(), sleep(MIN_STOP_MS)]);
   } finally {
     child.kill("SIGCONT");
   }
 }
 
-/** How a process is stopped over and over, so that it is slow, never late. */
+/**
+ * Lengths of the alternating intervals in which a process is suspended and
+ * runs: short ones, so that the process is slow but never late.
+ */
 export interface SlowTerms {
   readonly stoppedMs: number;
   readonly runsMs: number;
 }
 
-/** Slows a process down while `work` is done. */
+/** Slows a process down while `work` runs, by suspending it repeatedly. */
 export async function slowDuring(
   child: ChildProcess,
   { stoppedMs, runsMs }: SlowTerms,
   work: () => Promise<void>,
 ): Promise<void> {
   let isDone = false;
-  const done = work().finally(() => {
+  const completion = work().finally(() => {
     isDone = true;
   });
   try {
@@ -68,18 +72,19 @@
   } finally {
     child.kill("SIGCONT");
   }
-  await done;
+  await completion;
 }
 
-/** What a caller saw that left as soon as it was answered or out of patience. */
+/** The result of a caller that disconnects on an answer or a timeout. */
 export interface Departure {
   readonly requestId: string;
+  /** Time of the disconnect, by the monotonic clock. */
   readonly leftAtMs: number;
-  /** Status of the answer; undefined where none came in time. */
+  /** Status of the answer; undefined on a timeout or a connection error. */
   readonly status: number | undefined;
 }
 
-/** Connects, sends a request, and closes when it is answered or after a time. */
+/** Connects, sends a request, and closes on an answer or a timeout. */
 export function callOnce(
   address: string,
   { requestId, request, patienceMs }: {
--- a/standin/plain_proxy.ts
+++ b/standin/plain_proxy.ts
@@ -1,6 +1,6 @@
 /**
- * The usual baseline: a proxy beside each backend server with a fixed
- * concurrency limit, a FIFO queue, and retries at once at every hop.
+ * The baseline for comparisons: a proxy beside each backend server, with a
+ * fixed concurrency limit, a FIFO queue, and immediate retries at every hop.
  */
 import { createServer } from "node:http";
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -9,13 +9,16 @@
 import { Agent, request as send } from "undici";
 
 interface Options {
-  /** Takes calls from callers and from the local backend server. */
+  /** `host:port` for callers and the local backend server. */
   readonly listen: string;
-  /** Takes calls from other proxies. */
+  /** `host:port` for other proxies. */
   readonly ingress: string;
   readonly backend: string;
+  /** Maximum number of concurrent requests. */
   readonly limit: string;
+  /** Maximum number of queued requests. */
   readonly queue: string;
+  /** Maximum number of retries of a call. */
   readonly retries: string;
   /** JSON: ingress addresses by path prefix. */
   readonly routes: string;
@@ -30,15 +33,15 @@
   .requiredOption("--listen <address>", "host:port for callers")
   .requiredOption("--ingress <address>", "host:port for other proxies")
   .requiredOption("--backend <address>", "host:port of the backend server")
-  .option("--limit <count>", "requests run at a time", "50")
-  .option("--queue <count>", "requests that wait", "100")
-  .option("--retries <count>", "retries at once, for each hop", "3")
+  .option("--limit <count>", "maximum number of concurrent requests", "50")
+  .option("--queue <count>", "maximum number of queued requests", "100")
+  .option("--retries <count>", "immediate retries at each hop", "3")
   .option("--routes <json>", "ingress addresses by path prefix", "{}")
   .parse().opts<Options>();
 
 const routes = JSON.parse(options.routes) as Record<string, string[]>;
 const agent = new Agent({ connections: 1_024 });
-const waiting: (() => void)[] = [];
+const slotQueue: (() => void)[] = [];
 let running = 0;
 
 async function forward(
@@ -59,7 +62,10 @@
   return { status: answer.statusCode, body: bytes };
 }
 
-/** Tries a random backend server, and again at once where that fails. */
+/**
+ * Forwards a call to a random proxy, and retries immediately on a status of 500
+ * or above and on a connection error.
+ */
 async function callWithRetries(
   request: IncomingMessage,
   body: Uint8Array,
@@ -70,7 +76,7 @@
   );
   const addresses = routes[prefix ?? ""] ?? [];
   let reply: Reply = { status: 502, body: "No backend server answered" };
-  for (let sent = 0; sent <= Number(options.retries); sent++) {
+  for (let attempt = 0; attempt <= Number(options.retries); attempt++) {
     const address = addresses[Math.floor(Math.random() * addresses.length)]!;
     try {
       reply = await forward(address, request, body, signal);
@@ -86,20 +92,20 @@
   return reply;
 }
 
-async function takeSlot(): Promise<boolean> {
+async function acquireSlot(): Promise<boolean> {
   if (running < Number(options.limit)) {
     running += 1;
     return true;
   }
-  if (waiting.length >= Number(options.queue)) {
+  if (slotQueue.length >= Number(options.queue)) {
     return false;
   }
-  await new Promise<void>((resolve) => waiting.push(resolve));
+  await new Promise<void>((resolve) => slotQueue.push(resolve));
   return true;
 }
 
 function releaseSlot(): void {
-  const next = waiting.shift();
+  const next = slotQueue.shift();
   if (next === undefined) {
     running -= 1;
     return;
@@ -112,7 +118,7 @@
   body: Uint8Array,
   signal: AbortSignal,
 ): Promise<Reply> {
-  if (!await takeSlot()) {
+  if (!await acquireSlot()) {
     return { status: 503, body: "Queue is full" };
   }
   try {
@@ -123,30 +129,33 @@
   }
 }
 
-type Handle = typeof runLimited;
+type RequestHandler = typeof runLimited;
 
-async function answer(
-  handle: Handle,
+async function handleRequest(
+  handle: RequestHandler,
   request: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
-  const cancel = new AbortController();
-  response.on("close", () => cancel.abort());
+  const controller = new AbortController();
+  response.on("close", () => controller.abort());
   const chunks: Uint8Array[] = [];
   for await (const chunk of request) {
     chunks.push(chunk as Uint8Array);
   }
-  const reply = await handle(request, Buffer.concat(chunks), cancel.signal);
+  const reply = await handle(request, Buffer.concat(chunks), controller.signal);
   response.writeHead(reply.status, {
     "content-length": Buffer.byteLength(reply.body),
   });
   response.end(reply.body);
 }
 
-async function open(address: string, handle: Handle): Promise<void> {
+async function openListener(
+  address: string,
+  handle: RequestHandler,
+): Promise<void> {
   const [host, port] = address.split(":");
   const server = createServer((request, response) => {
-    answer(handle, request, response).catch(() => response.destroy());
+    handleRequest(handle, request, response).catch(() => response.destroy());
   });
   server.keepAliveTimeout = 60_000;
   await new Promise<void>((resolve) => {
@@ -154,7 +163,7 @@
   });
 }
 
-await open(options.ingress, runLimited);
-await open(options.listen, callWithRetries);
+await openListener(options.ingress, runLimited);
+await openListener(options.listen, callWithRetries);
 process.stdout.write(`plain proxy ${options.listen} is up\n`);
 process.on("SIGTERM", () => process.exit(0));
--- a/standin/ports.ts
+++ b/standin/ports.ts
@@ -1,22 +1,26 @@
-/** Free loopback ports below the range that the kernel hands out itself. */
+/**
+ * Finds free loopback ports below the kernel's ephemeral range, so that no
+ * outgoing connection occupies them.
+ */
 import { createServer } from "node:net";
 
 const FIRST_PORT = 10_000;
 const PORT_COUNT = 22_000;
 
-let next = Math.floor(Math.random() * PORT_COUNT);
+// Random, so that programs that run side by side try different ports.
+let nextOffset = Math.floor(Math.random() * PORT_COUNT);
 
-/** Finds a port that nothing listens on. */
+/** Finds a free port; does not return one twice until all have been tried. */
 export async function findPort(): Promise<number> {
   for (;;) {
-    const port = FIRST_PORT + (next++ % PORT_COUNT);
+    const port = FIRST_PORT + (nextOffset++ % PORT_COUNT);
     if (await isFree(port)) {
       return port;
     }
   }
 }
 
-/** Finds a loopback address that nothing listens on. */
+/** Finds a free `host:port` on loopback. */
 export async function findAddress(): Promise<string> {
   return `127.0.0.1:${await findPort()}`;
 }
--- a/standin/relay.ts
+++ b/standin/relay.ts
@@ -1,33 +1,40 @@
 /**
- * A TCP relay on loopback that can lose track of its open connections: they
- * go silent for good, with no end and no reset, while new ones work.
+ * A TCP relay on loopback that simulates network faults. Its open connections
+ * can go silent permanently, without FIN or RST, as when a firewall loses their
+ * state, while new connections work.
  */
 import { connect, createServer } from "node:net";
 import type { Server, Socket } from "node:net";
 import { parseAddress } from "../src/base/node/listen.ts";
 
-interface RelayedPair {
-  readonly near: Socket;
-  readonly far: Socket;
+interface RelayedConnection {
+  /** Accepted from the client. */
+  readonly inbound: Socket;
+  /** Opened to the target. */
+  readonly outbound: Socket;
+  /** Whether data, ends and errors of both sockets are discarded. */
   isSilent: boolean;
 }
 
-/** Which bytes an open connection loses. */
+/**
+ * `silent`: discards all further data and keeps the connection open; `cut`:
+ * resets it.
+ */
 export type RelayFault = "silent" | "cut";
 
-/** Owns a listener and the connections that it passes on. */
+/** Owns a listener and the connections that it relays. */
 export class Relay implements AsyncDisposable {
   readonly address: string;
-  /** `host:port` that new connections go to. */
+  /** `host:port` that new connections are relayed to. */
   target = "";
-  /** Connections taken so far. */
+  /** Number of connections accepted since the start. */
   count = 0;
   readonly #server: Server;
-  readonly #pairs = new Set<RelayedPair>();
+  readonly #connections = new Set<RelayedConnection>();
 
   constructor(address: string) {
     this.address = address;
-    this.#server = createServer((near) => this.#accept(near));
+    this.#server = createServer((inbound) => this.#accept(inbound));
   }
 
   /** Opens the listener. */
@@ -38,53 +45,57 @@
     );
   }
 
-  /** Makes all open connections go silent, or cuts them. */
+  /** Applies a fault to all open connections, and returns their number. */
   breakOpen(fault: RelayFault): number {
-    for (const pair of this.#pairs) {
+    for (const connection of this.#connections) {
       if (fault === "cut") {
-        pair.near.resetAndDestroy();
-        pair.far.resetAndDestroy();
+        connection.inbound.resetAndDestroy();
+        connection.outbound.resetAndDestroy();
       } else {
-        pair.isSilent = true;
+        connection.isSilent = true;
       }
     }
-    return this.#pairs.size;
+    return this.#connections.size;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    for (const { near, far } of this.#pairs) {
-      near.destroy();
-      far.destroy();
+    for (const { inbound, outbound } of this.#connections) {
+      inbound.destroy();
+      outbound.destroy();
     }
     await new Promise((resolve) => this.#server.close(resolve));
   }
 
-  #accept(near: Socket): void {
+  #accept(inbound: Socket): void {
     this.count += 1;
     const { host, port } = parseAddress(this.target)!;
-    const far = connect(port, host);
-    const pair: RelayedPair = { near, far, isSilent: false };
-    this.#pairs.add(pair);
-    this.#pass(pair, near, far);
-    this.#pass(pair, far, near);
+    const outbound = connect(port, host);
+    const connection: RelayedConnection = {
+      inbound,
+      outbound,
+      isSilent: false,
+    };
+    this.#connections.add(connection);
+    this.#forward(connection, inbound, outbound);
+    this.#forward(connection, outbound, inbound);
   }
 
-  /** A silent pair drops bytes, ends and resets alike. */
-  #pass(pair: RelayedPair, from: Socket, to: Socket): void {
+  /** Forwards data, end and close in one direction, unless `isSilent`. */
+  #forward(connection: RelayedConnection, from: Socket, to: Socket): void {
     from.on("data", (data) => {
-      if (!pair.isSilent) {
+      if (!connection.isSilent) {
         to.write(data);
       }
     });
     from.on("end", () => {
-      if (!pair.isSilent) {
+      if (!connection.isSilent) {
         to.end();
       }
     });
     from.on("error", () => {});
     from.on("close", () => {
-      if (!pair.isSilent) {
-        this.#pairs.delete(pair);
+      if (!connection.isSilent) {
+        this.#connections.delete(connection);
         to.destroy();
       }
     });
--- a/standin/retry_windows.ts
+++ b/standin/retry_windows.ts
@@ -1,43 +1,53 @@
 /**
- * What a fleet's retries come to in any window of time, from what backend
- * servers saw of them.
+ * Compares the repeats that backend servers received with the retry budget, in
+ * sliding windows of time.
  */
 
-/** An arrival at a service. */
+/** An arrival of a call at a backend server of a service. */
 export interface Arrival {
   readonly service: string;
   readonly atMs: number;
-  /** Beyond the first of its request, or made by a run that was a repeat. */
+  /**
+   * Whether it is not the first arrival of its request, or was sent by a run
+   * that was a repeat.
+   */
   readonly isRepeat: boolean;
 }
 
-/** What is allowed in a window. */
+/** The retry budget of a window. */
 export interface RetryTerms {
-  /** Repeats as a share of the requests. */
+  /** Allowed repeats per request. */
   readonly ratio: number;
-  /** Repeats that are allowed in any case. */
+  /** Allowed repeats in addition, independent of the number of requests. */
   readonly slack: number;
   readonly windowMs: number;
 }
 
-/** The window of a service that comes closest to its bound, or is beyond. */
+/**
+ * The window of a service in which the repeats exceed the budget most, or come
+ * closest to it.
+ */
 export interface WorstWindow {
   readonly service: string;
   readonly endMs: number;
   readonly repeats: number;
+  /** Arrivals that are no repeats. */
   readonly requests: number;
+  /** Repeats that the budget allows. */
   readonly allowed: number;
 }
 
-/** Finds the worst window of each service that saw repeats. */
+/** Finds the worst window of each service that received repeats. */
 export function findWorstWindows(
   arrivals: readonly Arrival[],
   terms: RetryTerms,
 ): readonly WorstWindow[] {
   const services = [...new Set(arrivals.map(({ service }) => service))];
   return services.sort().flatMap((service) => {
-    const own = arrivals.filter((one) => one.service === service);
-    const worst = findWorstWindow(service, own, terms);
+    const serviceArrivals = arrivals.filter((arrival) =>
+      arrival.service === service
+    );
+    const worst = findWorstWindow(service, serviceArrivals, terms);
     return worst === undefined ? [] : [worst];
   });
 }
@@ -47,19 +57,20 @@
   arrivals: readonly Arrival[],
   { ratio, slack, windowMs }: RetryTerms,
 ): WorstWindow | undefined {
-  const times = (isRepeat: boolean) =>
-    arrivals.filter((one) => one.isRepeat === isRepeat)
+  const listTimes = (isRepeat: boolean) =>
+    arrivals.filter((arrival) => arrival.isRepeat === isRepeat)
       .map(({ atMs }) => atMs).sort((a, b) => a - b);
-  const firsts = times(false);
-  const repeats = times(true);
+  const firsts = listTimes(false);
+  const repeats = listTimes(true);
   let worst: WorstWindow | undefined;
   for (const endMs of repeats) {
-    // Requests count where a window, or one up to its length before, has most.
-    const ends = [endMs, endMs - windowMs / 2, endMs - windowMs];
+    // The budget is computed from the highest number of requests in this window
+    // and the windows that end half a window and a full window earlier.
+    const windowEnds = [endMs, endMs - windowMs / 2, endMs - windowMs];
     const requests = Math.max(
-      ...ends.map((end) => countUntil(firsts, end, windowMs)),
+      ...windowEnds.map((end) => countInWindow(firsts, end, windowMs)),
     );
-    const count = countUntil(repeats, endMs, windowMs);
+    const count = countInWindow(repeats, endMs, windowMs);
     const allowed = ratio * requests + slack;
     if (
       worst === undefined || count - allowed > worst.repeats - worst.allowed
@@ -70,17 +81,17 @@
   return worst;
 }
 
-/** Counts sorted times in a window that ends at one. */
-function countUntil(
+/** Counts the times in a window; `times` is sorted, `endMs` inclusive. */
+function countInWindow(
   times: readonly number[],
   endMs: number,
   windowMs: number,
 ): number {
-  return findAfter(times, endMs) - findAfter(times, endMs - windowMs);
+  return findFirstAfter(times, endMs) - findFirstAfter(times, endMs - windowMs);
 }
 
-/** Finds the index of the first time after a given one. */
-function findAfter(times: readonly number[], atMs: number): number {
+/** Finds the index of the first of sorted times after `atMs`, by bisection. */
+function findFirstAfter(times: readonly number[], atMs: number): number {
   let low = 0;
   let high = times.length;
   while (low < high) {
