--- a/scripts/check_consensus.ts
+++ b/scripts/check_consensus.ts
@@ -1,4 +1,7 @@
-/** Runs many random schedules of faults over consensus, on a printed seed. */
+/**
+ * Checks the consensus reducer against many random fault schedules. Prints the
+ * seed, so that a failed run can be repeated: `check_consensus [runs] [seed]`.
+ */
 import fc from "fast-check";
 import process from "node:process";
 import { reduceConsensus } from "../src/engine/consensus/common/consensus_reducer.ts";
@@ -8,7 +11,7 @@
 } from "../src/engine/consensus/test/fault_schedule.ts";
 
 const DEFAULT_RUNS = 100_000;
-/** Twice as long as in the tests. */
+/** Most steps of one schedule: twice as many as in the unit tests. */
 const MAX_STEPS = 140;
 
 const [runsText, seedText] = process.argv.slice(2);
@@ -19,9 +22,9 @@
 fc.assert(
   fc.property(
     createSchedules(MAX_STEPS),
-    (draws) => runSchedule(draws, reduceConsensus),
+    (schedule) => runSchedule(schedule, reduceConsensus),
   ),
   { seed, numRuns, plugins: [fc.unbiased()] },
 );
-const tookMs = Math.round(performance.now() - startedAtMs);
-process.stdout.write(`no broken promise, ${tookMs} ms\n`);
+const elapsedMs = Math.round(performance.now() - startedAtMs);
+process.stdout.write(`no property violated, ${elapsedMs} ms\n`);
--- a/scripts/check_layers.ts
+++ b/scripts/check_layers.ts
@@ -1,18 +1,23 @@
 /**
- * Checks that imports point down only: base, engine, daemon and cli, and above
- * them mod and the adapter of the users' platform.
+ * Checks that modules import only from their own layer and lower ones. From the
+ * bottom up: base; engine; daemon and cli; mod and the platform adapter.
  */
 import { readdirSync, readFileSync, statSync } from "node:fs";
 import { dirname, join, normalize, relative } from "node:path";
 import process from "node:process";
 
-interface Place {
+/** Layer and folder that a module belongs to. */
+interface ModuleLocation {
+  /** Key of `LAYER_RANKS`. */
   readonly layer: string;
+  /** Folder under `src/engine`; in other layers the name of the layer. */
   readonly area: string;
+  /** Folder within the area, such as `common`, `node` or `test`; else empty. */
   readonly folder: string;
 }
 
-const RANKS: Readonly<Record<string, number>> = {
+/** Height of each layer; imports may not go from a lower to a higher rank. */
+const LAYER_RANKS: Readonly<Record<string, number>> = {
   base: 0,
   engine: 1,
   daemon: 2,
@@ -20,8 +25,8 @@
   mod: 3,
   adapter: 3,
 };
-const IMPORT = /(?:from|import)\s*\(?\s*"(\.[^"]+)"/g;
-const BUILTIN_IO =
+const RELATIVE_IMPORT = /(?:from|import)\s*\(?\s*"(\.[^"]+)"/g;
+const IO_MODULE_IMPORT =
   /(?:from|import)\s*\(?\s*"(node:(?:fs|http|net|tls|child_process)[^"]*)"/g;
 
 function listFiles(folder: string): readonly string[] {
@@ -35,7 +40,7 @@
   });
 }
 
-function locate(file: string): Place {
+function locateModule(file: string): ModuleLocation {
   if (file.startsWith("platform/")) {
     const folder = file.startsWith("platform/test/") ? "test" : "";
     return { layer: "adapter", area: "adapter", folder };
@@ -48,46 +53,49 @@
   return { layer: layer.replace(/\.ts$/, ""), area: layer, folder: second };
 }
 
-function checkImport(from: Place, to: Place): string | undefined {
+function checkImport(
+  from: ModuleLocation,
+  to: ModuleLocation,
+): string | undefined {
   if (from.folder === "test") {
     return undefined;
   }
   if (to.folder === "test") {
     return "imports a test";
   }
-  const rankFrom = RANKS[from.layer] ?? 0;
-  const rankTo = RANKS[to.layer] ?? 0;
+  const rankFrom = LAYER_RANKS[from.layer] ?? 0;
+  const rankTo = LAYER_RANKS[to.layer] ?? 0;
   if (rankTo > rankFrom) {
-    return `points up from ${from.layer} to ${to.layer}`;
+    return `imports from a higher layer: ${from.layer} imports ${to.layer}`;
   }
   if (rankTo === rankFrom && rankFrom === 2 && from.layer !== to.layer) {
-    return `${from.layer} and ${to.layer} never import each other`;
+    return `${from.layer} and ${to.layer} must not import each other`;
   }
   if (from.folder === "common" && to.folder === "node") {
-    return "common never imports node";
+    return "common must not import node";
   }
   const isOtherArea = from.layer === "engine" && to.layer === "engine" &&
     from.area !== to.area;
   if (isOtherArea && to.folder !== "common") {
-    return `an area imports only the common of another (${to.area})`;
+    return `an area may import only the common folder of another area (${to.area})`;
   }
   return undefined;
 }
 
 function checkFile(file: string): readonly string[] {
-  const text = readFileSync(file, "utf8");
-  const from = locate(file);
+  const source = readFileSync(file, "utf8");
+  const from = locateModule(file);
   const faults: string[] = [];
-  for (const [, target] of text.matchAll(IMPORT)) {
+  for (const [, target] of source.matchAll(RELATIVE_IMPORT)) {
     const path = normalize(join(dirname(file), target!));
-    const fault = checkImport(from, locate(path));
+    const fault = checkImport(from, locateModule(path));
     if (fault !== undefined) {
       faults.push(`${file}: ${target}: ${fault}`);
     }
   }
-  for (const [, name] of text.matchAll(BUILTIN_IO)) {
+  for (const [, name] of source.matchAll(IO_MODULE_IMPORT)) {
     if (from.folder === "common") {
-      faults.push(`${file}: ${name}: common does no I/O`);
+      faults.push(`${file}: ${name}: common must not do I/O`);
     }
   }
   return faults;
--- a/scripts/check_platform_names.ts
+++ b/scripts/check_platform_names.ts
@@ -1,4 +1,4 @@
-/** Checks that the users' platform's own names stay inside `platform/`. */
+/** Checks that names of the platform occur in no source outside `platform/`. */
 import { readdirSync, readFileSync, statSync } from "node:fs";
 import { join } from "node:path";
 import process from "node:process";
@@ -22,9 +22,9 @@
   .map((name) => name.toLowerCase());
 const files = FOLDERS.flatMap(listSources);
 const faults = files.flatMap((file) => {
-  const text = readFileSync(file, "utf8").toLowerCase();
-  return names.filter((name) => text.includes(name))
-    .map((name) => `${file}: ${name} belongs to platform/`);
+  const source = readFileSync(file, "utf8").toLowerCase();
+  return names.filter((name) => source.includes(name))
+    .map((name) => `${file}: ${name} may only be used in platform/`);
 });
 process.stdout.write(
   `${names.length} platform names, ${faults.length} outside platform/\n`,
--- a/scripts/check_results.ts
+++ b/scripts/check_results.ts
@@ -1,7 +1,7 @@
 /**
- * Checks the last test run: each failure is listed in KNOWN-RED.txt (three at
- * most), each entry names an open issue, and each test that docs/PROOFS.md names
- * has run and passed.
+ * Checks the results of the last test run. Fails if a failed test is not listed
+ * in KNOWN-RED.txt, if more tests of the run are listed than allowed, if an
+ * entry names no issue, or if a test named in docs/PROOFS.md did not pass.
  */
 import { existsSync, readFileSync } from "node:fs";
 import process from "node:process";
@@ -10,11 +10,15 @@
 
 const KNOWN_RED_FILE = "KNOWN-RED.txt";
 const PROOFS_FILE = "docs/PROOFS.md";
-/** Most tests of a run that may fail; days of the bench are not in a run. */
+/**
+ * Most entries that may name tests of the run. Entries for benchmarks do not
+ * count, since a test run does not include those.
+ */
 const MAX_KNOWN_RED = 3;
-const ENTRY = /^.+ — .+issue \d+/;
-/** Tests stand in the page as `test: full title`. */
-const PROOF_TEST = /`test: ([^`]+)`/g;
+/** Form of an entry: full title, a dash, and a description with the issue. */
+const ENTRY_PATTERN = /^.+ — .+issue \d+/;
+/** Matches a reference to a test: `test: full title` in backquotes. */
+const PROOF_TEST_PATTERN = /`test: ([^`]+)`/g;
 
 function readKnownRed(): readonly string[] {
   if (!existsSync(KNOWN_RED_FILE)) {
@@ -32,31 +36,33 @@
     .filter((title) => !knownRed.some((line) => line.startsWith(title)))
     .map((title) => `Failed: ${title}`);
   const titles = [...results.passed, ...results.failed];
-  const excused = knownRed
+  const listedTests = knownRed
     .filter((line) => titles.some((title) => line.startsWith(title)));
-  if (excused.length > MAX_KNOWN_RED) {
+  if (listedTests.length > MAX_KNOWN_RED) {
     faults.push(`${KNOWN_RED_FILE} holds more than ${MAX_KNOWN_RED} tests`);
   }
   faults.push(
-    ...knownRed.filter((line) => !ENTRY.test(line))
+    ...knownRed.filter((line) => !ENTRY_PATTERN.test(line))
       .map((line) => `${KNOWN_RED_FILE} names no issue in: ${line}`),
   );
   return faults;
 }
 
-/** A test may add what it found to its title, after a colon. */
+/** Matches the title, also if the test appended a result after a colon. */
 function hasTest(titles: readonly string[], title: string): boolean {
-  return titles.some((ran) => ran === title || ran.startsWith(`${title}: `));
+  return titles.some((executedTitle) =>
+    executedTitle === title || executedTitle.startsWith(`${title}: `)
+  );
 }
 
 function checkProofs(results: TestResults): readonly string[] {
-  const known = [...results.passed, ...results.failed];
+  const executed = [...results.passed, ...results.failed];
   const page = readFileSync(PROOFS_FILE, "utf8");
-  return [...page.matchAll(PROOF_TEST)]
+  return [...page.matchAll(PROOF_TEST_PATTERN)]
     .map(([, title]) => title!)
     .filter((title) => !hasTest(results.passed, title))
     .map((title) =>
-      hasTest(known, title)
+      hasTest(executed, title)
         ? `${PROOFS_FILE} names a test that failed: ${title}`
         : `${PROOFS_FILE} names a test that did not run: ${title}`
     );
