--- a/scripts/record_traces.ts
+++ b/scripts/record_traces.ts
@@ -1,7 +1,7 @@
 /**
- * Records the traces in `traces/` anew: brings about each fault in a small
- * fleet, checks that a replay gives what the callers saw, and states it.
- * Takes names of faults; all without any.
+ * Records the traces in `traces/` again: injects each fault into a small fleet,
+ * checks that a replay yields the answers that the callers received, and
+ * appends the expected outcome. Arguments: names of faults; default is all.
  */
 import { mkdirSync } from "node:fs";
 import process from "node:process";
@@ -35,6 +35,7 @@
 type RecordInNodeFleet = (fleet: NodeFleet) => Promise<readonly Recording[]>;
 type RecordInFleet = (fleet: Fleet) => Promise<readonly Recording[]>;
 
+/** Faults recorded at nodes, by name. */
 const NODE_FAULTS: Readonly<Record<string, RecordInNodeFleet>> = {
   straggler: recordStraggler,
   surge: recordSurge,
@@ -50,33 +51,36 @@
   crashing_request: recordCrashingRequest,
 };
 
+/** Faults recorded at control replicas, by name. */
 const CONTROL_FAULTS: Readonly<Record<string, RecordInFleet>> = {
   racing_edits: recordRacingEdits,
   resent_edit: recordResentEdit,
   restart: recordRestart,
 };
 
-/** Records one fault in a fleet of its own; returns what went wrong. */
+/** Records one fault in a separate fleet; returns the failures. */
 async function recordFault(name: string): Promise<readonly string[]> {
-  const recordNode = NODE_FAULTS[name];
-  if (recordNode !== undefined) {
+  const recordAtNodes = NODE_FAULTS[name];
+  if (recordAtNodes !== undefined) {
     await using nodes = new NodeFleet();
     await nodes.open();
-    return writeAll(await recordNode(nodes));
+    return writeAll(await recordAtNodes(nodes));
   }
-  const recordControl = CONTROL_FAULTS[name];
-  if (recordControl === undefined) {
-    return [`No fault ${name}`];
+  const recordAtControls = CONTROL_FAULTS[name];
+  if (recordAtControls === undefined) {
+    return [`Unknown fault: ${name}`];
   }
   await using fleet = new Fleet();
-  return writeAll(await recordControl(fleet));
+  return writeAll(await recordAtControls(fleet));
 }
 
 function writeAll(recordings: readonly Recording[]): readonly string[] {
   return recordings.flatMap((recording) =>
     writeRecording(recording).match(
       (lines) => {
-        writeLine(`${recording.name}: ${lines} lines, as the callers saw it`);
+        writeLine(
+          `${recording.name}: ${lines} lines, replay matches what was observed`,
+        );
         return [];
       },
       (reason) => [`${recording.name}: ${reason}`],
@@ -84,10 +88,13 @@
   );
 }
 
-const all = [...Object.keys(NODE_FAULTS), ...Object.keys(CONTROL_FAULTS)];
-const asked = process.argv.slice(2);
+const faultNames = [
+  ...Object.keys(NODE_FAULTS),
+  ...Object.keys(CONTROL_FAULTS),
+];
+const requested = process.argv.slice(2);
 mkdirSync(TRACE_FOLDER, { recursive: true });
-for (const name of asked.length === 0 ? all : asked) {
+for (const name of requested.length === 0 ? faultNames : requested) {
   const failures = await recordFault(name)
     .catch((error: Error) => [`${name}: ${error.message}`]);
   if (failures.length > 0) {
--- a/scripts/test_reporter.ts
+++ b/scripts/test_reporter.ts
@@ -1,19 +1,19 @@
-/** Mocha's spec reporter, plus a file of what ran and a plain closing line. */
+/** Mocha's spec reporter, with a file of results and a summary line at the end. */
 import { writeFileSync } from "node:fs";
 import process from "node:process";
 import mocha from "mocha";
 import type { MochaOptions, Runner, Test } from "mocha";
 
-/** Where the results of the last run stand. */
+/** File with the results of the last run. */
 export const RESULTS_FILE = "out/test_results.json";
 
-/** What a run came to, by full title. */
+/** Full titles of the tests that passed and failed in a run. */
 export interface TestResults {
   readonly passed: readonly string[];
   readonly failed: readonly string[];
 }
 
-/** Prints as the spec reporter does. */
+/** Prints like the spec reporter and writes `RESULTS_FILE` at the end. */
 class TestReporter extends mocha.reporters.Spec {
   constructor(runner: Runner, options: MochaOptions) {
     super(runner, options);
@@ -31,5 +31,5 @@
   }
 }
 
-// Mocha loads reporters by `require`, which hands out this export.
+// Mocha loads reporters by `require`, which returns the export of this name.
 export { TestReporter as "module.exports" };
--- a/scripts/write_references.ts
+++ b/scripts/write_references.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the references of settings and columns into docs/OPERATING.md, between
- * their markers; with `--check` it only says whether the page is up to date.
+ * Writes the reference tables of settings and columns into docs/OPERATING.md,
+ * between their markers. With `--check` it only checks that they are current.
  */
 import { readFileSync, writeFileSync } from "node:fs";
 import process from "node:process";
@@ -9,9 +9,9 @@
 import { COLUMN_REFERENCE } from "../src/engine/table/common/column_reference.ts";
 import { TABLE_COLUMNS } from "../src/engine/table/common/table_row.ts";
 
-const PAGE = "docs/OPERATING.md";
+const OPERATING_FILE = "docs/OPERATING.md";
 
-function createTable(
+function formatTable(
   headings: readonly string[],
   rows: readonly (readonly string[])[],
 ): string {
@@ -24,8 +24,8 @@
   return text.replaceAll("|", "\\|").replaceAll("*", "\\*");
 }
 
-function createSettingsTable(settings: readonly SettingReference[]): string {
-  return createTable(
+function formatSettingsTable(settings: readonly SettingReference[]): string {
+  return formatTable(
     ["key", "must be", "needed", "what it is for"],
     settings.map(({ key, allowed, isOptional, note }) => [
       `\`${key}\``,
@@ -36,8 +36,8 @@
   );
 }
 
-function createColumnTable(): string {
-  return createTable(
+function formatColumnTable(): string {
+  return formatTable(
     ["column", "unit and range", "effect", "example"],
     COLUMN_REFERENCE.map(({ column, allowed, effect, example }) => [
       `\`${column}\``,
@@ -54,14 +54,14 @@
   const from = page.indexOf(start);
   const to = page.indexOf(end);
   if (from < 0 || to < from) {
-    throw new Error(`${PAGE} has no block ${name}`);
+    throw new Error(`${OPERATING_FILE} has no block ${name}`);
   }
   const head = page.slice(0, from + start.length);
   return `${head}\n\n${block}\n\n${page.slice(to)}`;
 }
 
-/** Spaces and dashes are the formatter's to choose. */
-function normalize(page: string): string {
+/** Collapses spaces and dashes, whose number depends on the formatter. */
+function normalizeSpacing(page: string): string {
   return page.replace(/ +/g, " ").replace(/-{3,}/g, "---");
 }
 
@@ -73,16 +73,16 @@
 if (columns.join() !== TABLE_COLUMNS.join()) {
   faults.push("column_reference.ts doesn't list the columns in order");
 }
-const page = readFileSync(PAGE, "utf8");
-const written = [
-  ["settings of a node", createSettingsTable(node)],
-  ["settings of a control replica", createSettingsTable(control)],
-  ["columns", createColumnTable()],
+const page = readFileSync(OPERATING_FILE, "utf8");
+const updatedPage = [
+  ["settings of a node", formatSettingsTable(node)],
+  ["settings of a control replica", formatSettingsTable(control)],
+  ["columns", formatColumnTable()],
 ].reduce((text, [name, block]) => replaceBlock(text, name!, block!), page);
 if (!process.argv.includes("--check")) {
-  writeFileSync(PAGE, written);
-} else if (normalize(written) !== normalize(page)) {
-  faults.push(`${PAGE} is out of date; run npm run write:references`);
+  writeFileSync(OPERATING_FILE, updatedPage);
+} else if (normalizeSpacing(updatedPage) !== normalizeSpacing(page)) {
+  faults.push(`${OPERATING_FILE} is out of date; run npm run write:references`);
 }
 if (faults.length > 0) {
   process.stderr.write(`${faults.join("\n")}\n`);
