--- a/scripts/traces/callers.ts
+++ b/scripts/traces/callers.ts
@@ -1,4 +1,4 @@
-/** Callers of a node, and what they saw of their calls. */
+/** Makes calls to a node and records the answers that the callers receive. */
 import { request } from "undici";
 import { OUTCOME_HEADER } from "../../src/engine/call/common/call_context.ts";
 
@@ -7,21 +7,24 @@
   readonly method?: "GET" | "POST";
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
-  /** Leaves without an answer after so long, in milliseconds. */
-  readonly leaveAfterMs?: number;
+  /** Time after which the caller disconnects; undefined waits for the answer. */
+  readonly disconnectAfterMs?: number;
 }
 
-/** What a caller saw of its call. */
+/** The outcome of a call as its caller observed it. */
 export interface ObservedCall {
-  /** Method, path and key; calls that share them are made in turn. */
+  /** Method, path and key; calls of the same name are made one after another. */
   readonly name: string;
-  /** Status and outcome, then `0 dropped` where the answer was cut. */
-  readonly seen: readonly string[];
-  /** Whether the caller left before it had an answer. */
-  readonly hasLeft: boolean;
+  /**
+   * Status and outcome of the answer, if any, then `0 dropped` if the
+   * connection failed before its end.
+   */
+  readonly answers: readonly string[];
+  /** Whether the caller disconnected before the end of the answer. */
+  readonly hasDisconnected: boolean;
 }
 
-/** Names a call by what both its caller and a recording know of it. */
+/** Formats a name from the fields that both the caller and a trace have. */
 export function formatCallName(
   call: { readonly method: string; readonly path: string },
   key: string | undefined,
@@ -30,7 +33,7 @@
   return key === undefined ? line : `${line} ${key}`;
 }
 
-/** Makes calls at the edge of one node and keeps what came of them. */
+/** Makes calls to the edge listener of one node and keeps their outcomes. */
 export class Callers {
   readonly #edge: string;
   readonly #observed: ObservedCall[] = [];
@@ -39,38 +42,40 @@
     this.#edge = edge;
   }
 
-  /** What was seen so far. */
+  /** Outcomes of the calls that have ended, in the order of their ends. */
   get observed(): readonly ObservedCall[] {
     return this.#observed;
   }
 
-  /** Makes one call; resolves once it ended, with what its caller saw. */
+  /** Makes one call; resolves with its answers once it has ended. */
   async call(options: CallOptions): Promise<readonly string[]> {
-    const { method = "GET", path, headers = {}, leaveAfterMs } = options;
+    const { method = "GET", path, headers = {}, disconnectAfterMs } = options;
     const name = formatCallName({ method, path }, headers["idempotency-key"]);
-    const signal = leaveAfterMs === undefined
+    const signal = disconnectAfterMs === undefined
       ? null
-      : AbortSignal.timeout(leaveAfterMs);
-    const seen: string[] = [];
-    let hasLeft = false;
+      : AbortSignal.timeout(disconnectAfterMs);
+    const answers: string[] = [];
+    let hasDisconnected = false;
     try {
-      const answer = await request(`http://${this.#edge}${path}`, {
+      const response = await request(`http://${this.#edge}${path}`, {
         method,
         headers,
         signal,
         body: method === "POST" ? "{}" : null,
       });
-      seen.push(`${answer.statusCode} ${answer.headers[OUTCOME_HEADER] ?? ""}`);
-      await answer.body.arrayBuffer();
+      answers.push(
+        `${response.statusCode} ${response.headers[OUTCOME_HEADER] ?? ""}`,
+      );
+      await response.body.arrayBuffer();
     } catch {
-      hasLeft = signal?.aborted === true;
-      seen.push(...(hasLeft ? [] : ["0 dropped"]));
+      hasDisconnected = signal?.aborted === true;
+      answers.push(...(hasDisconnected ? [] : ["0 dropped"]));
     }
-    this.#observed.push({ name, seen, hasLeft });
-    return seen;
+    this.#observed.push({ name, answers, hasDisconnected });
+    return answers;
   }
 
-  /** Makes calls to `path-0` and on, all at once. */
+  /** Makes `count` concurrent calls, to `path-0`, `path-1` and so on. */
   async callMany(count: number, path: string): Promise<void> {
     const paths = Array.from({ length: count }, (_, i) => `${path}-${i}`);
     await Promise.all(paths.map((each) => this.call({ path: each })));
--- a/scripts/traces/control_faults.ts
+++ b/scripts/traces/control_faults.ts
@@ -18,7 +18,7 @@
   ["control-b", "hall-b"],
   ["control-c", "hall-c"],
 ] as const;
-const EARLIER_EDITS = 220;
+const EDITS_BEFORE_RESTART = 220;
 const CELLS = {
   kind: "lookup",
   service: "catalog",
@@ -37,23 +37,24 @@
 
 interface Edit {
   readonly editId: string;
-  /** Version that the operator saw. */
-  readonly from: number;
+  /** Table version that the edit is based on. */
+  readonly baseVersion: number;
+  /** New value of the cell `queue`. */
   readonly queue: number;
 }
 
-/** Two operators edit one row from the same version, at two replicas. */
+/** Two operators edit one row at two replicas, based on the same version. */
 export async function recordRacingEdits(
   fleet: Fleet,
 ): Promise<readonly Recording[]> {
   const [first, second] = await startRecorded(fleet, 1);
   const edits = await Promise.all([
-    sendEdit(first!, { editId: "race-amal", from: 1, queue: 50 }),
-    sendEdit(second!, { editId: "race-badr", from: 1, queue: 60 }),
+    sendEdit(first!, { editId: "race-amal", baseVersion: 1, queue: 50 }),
+    sendEdit(second!, { editId: "race-badr", baseVersion: 1, queue: 60 }),
   ]);
-  const won = edits.filter(({ outcome }) => outcome === "EditAccepted");
-  if (won.length !== 1) {
-    throw new Error(`${won.length} of two racing edits were accepted`);
+  const accepted = edits.filter(({ outcome }) => outcome === "EditAccepted");
+  if (accepted.length !== 1) {
+    throw new Error(`${accepted.length} of two racing edits were accepted`);
   }
   const reads = [await readTable(first!), await readTable(second!)];
   return await Promise.all(
@@ -67,8 +68,8 @@
 }
 
 /**
- * The answer to an edit made at a follower is lost; sent again to the leader,
- * the edit gets its first answer.
+ * The answer to an edit at a follower is lost. Resent to the leader under the
+ * same edit id, even with other content, the edit gets the original answer.
  */
 export async function recordResentEdit(
   fleet: Fleet,
@@ -76,10 +77,10 @@
   const controls = await startRecorded(fleet, 1);
   const leader = await findLeader(controls);
   const follower = controls.find((control) => control !== leader)!;
-  const edit = { editId: "lost-answer", from: 1, queue: 70 };
-  await sendUnheard(follower, edit);
-  await waitVersion(leader, 2);
-  await waitVersion(follower, 2);
+  const edit = { editId: "lost-answer", baseVersion: 1, queue: 70 };
+  await sendAndDisconnect(follower, edit);
+  await waitForVersion(leader, 2);
+  await waitForVersion(follower, 2);
   const edits = [
     await sendEdit(leader, edit),
     await sendEdit(leader, { ...edit, queue: 71 }),
@@ -99,19 +100,19 @@
   ];
 }
 
-/** A replica is killed after hundreds of edits and comes back with all. */
+/** A replica is killed after many edits and recovers all of them. */
 export async function recordRestart(
   fleet: Fleet,
 ): Promise<readonly Recording[]> {
-  const [control] = await startRecorded(fleet, EARLIER_EDITS, 1);
+  const [control] = await startRecorded(fleet, EDITS_BEFORE_RESTART, 1);
   const reads = [await readTable(control!)];
   const edits = [
     await sendEdit(control!, createEdit(7)),
-    await sendEdit(control!, createEdit(EARLIER_EDITS + 1)),
-    await sendEdit(control!, { editId: "stale", from: 3, queue: 1 }),
+    await sendEdit(control!, createEdit(EDITS_BEFORE_RESTART + 1)),
+    await sendEdit(control!, { editId: "stale", baseVersion: 3, queue: 1 }),
   ];
   reads.push(await readTable(control!));
-  const tableVersion = EARLIER_EDITS + 1;
+  const tableVersion = EDITS_BEFORE_RESTART + 1;
   return [
     await finishRecording(fleet, control!, {
       name: "restart_after_edits",
@@ -120,7 +121,7 @@
   ];
 }
 
-/** Starts replicas, makes edits, kills all and starts them recording. */
+/** Starts replicas, makes edits, kills all and restarts them with recording. */
 async function startRecorded(
   fleet: Fleet,
   editCount: number,
@@ -131,7 +132,7 @@
     await sendEdit(controls[0]!, createEdit(version));
   }
   await Promise.all(
-    controls.map((control) => waitVersion(control, editCount)),
+    controls.map((control) => waitForVersion(control, editCount)),
   );
   for (const control of controls) {
     await fleet.stop(control, "SIGKILL");
@@ -146,11 +147,15 @@
 
 function createEdit(version: number): Edit {
   const editId = `edit-${version}`;
-  return { editId, from: version - 1, queue: version };
+  return { editId, baseVersion: version - 1, queue: version };
 }
 
-function createBody({ editId, from, queue }: Edit): string {
-  const cells = { ...CELLS, queue: String(queue), version: String(from) };
+function createBody({ editId, baseVersion, queue }: Edit): string {
+  const cells = {
+    ...CELLS,
+    queue: String(queue),
+    version: String(baseVersion),
+  };
   return JSON.stringify({ editId, change: { type: "PutRow", cells } });
 }
 
@@ -165,15 +170,20 @@
   const outcome = await answer.body.json() as EditOutcome;
   if (answer.statusCode !== 200 && answer.statusCode !== 409) {
     throw new Error(
-      `Edit got ${answer.statusCode}: ${JSON.stringify(outcome)}`,
+      `Edit answered with status ${answer.statusCode}: ${
+        JSON.stringify(outcome)
+      }`,
     );
   }
   const version = outcome.type === "EditConflicted" ? 0 : outcome.version;
   return { editId: edit.editId, outcome: outcome.type, version };
 }
 
-/** Sends an edit and breaks the connection before an answer can come. */
-async function sendUnheard(control: FleetControl, edit: Edit): Promise<void> {
+/** Sends an edit and closes the connection without reading the answer. */
+async function sendAndDisconnect(
+  control: FleetControl,
+  edit: Edit,
+): Promise<void> {
   const { host, port } = parseAddress(control.operator)!;
   const body = createBody(edit);
   const head = `POST /table/edits HTTP/1.1\r\nhost: ${control.operator}\r\n` +
@@ -204,7 +214,7 @@
   return leader!;
 }
 
-async function waitVersion(
+async function waitForVersion(
   control: FleetControl,
   version: number,
 ): Promise<void> {
--- a/scripts/traces/loss_faults.ts
+++ b/scripts/traces/loss_faults.ts
@@ -1,15 +1,16 @@
-/** Recordings of what is lost: connections, processes, answers, control. */
+/** Recordings of lost connections, processes, answers and control. */
 import { request } from "undici";
 import { findAddress } from "../../standin/ports.ts";
 import { Relay } from "../../standin/relay.ts";
-import { NodeFleet, readVersion, waitRun } from "./node_fleet.ts";
+import { NodeFleet, readVersion, waitForRun } from "./node_fleet.ts";
 import type { RecordedNode } from "./node_fleet.ts";
 import type { Recording } from "./recording.ts";
 import { waitUntil } from "./wait_until.ts";
 
+/** Makes the backend server take 800 ms for a request. */
 const SLOW = { "x-standin-ms": "800" };
 
-/** Open connections to the next node go silent; new ones work. */
+/** Open connections to the next node stop transferring data; new ones work. */
 export async function recordSilentConnection(
   fleet: NodeFleet,
 ): Promise<readonly Recording[]> {
@@ -29,14 +30,14 @@
   relay.breakOpen("silent");
   await callRefund(entry, { "idempotency-key": "lost" });
   const headers = { ...SLOW, "idempotency-key": "unheard" };
-  const unheard = callRefund(entry, headers);
-  await waitRun(catalog, "unheard");
+  const pendingRefund = callRefund(entry, headers);
+  await waitForRun(catalog, "unheard");
   relay.breakOpen("silent");
-  await unheard;
+  await pendingRefund;
   return [await fleet.finishRecording(entry, "silent_connection")];
 }
 
-/** The backend server dies while it runs requests, and comes back. */
+/** The backend server is killed while it runs requests, and restarted. */
 export async function recordBackendKilled(
   fleet: NodeFleet,
 ): Promise<readonly Recording[]> {
@@ -46,20 +47,20 @@
   await callers.call({ path: "/prices/before" });
   const lookup = callers.call({ path: "/prices/running", headers: SLOW });
   const refund = callRefund(node, SLOW);
-  await waitRun(node, "/prices/running");
-  await waitRun(node, "/refunds");
+  await waitForRun(node, "/prices/running");
+  await waitForRun(node, "/refunds");
   await fleet.fleet.stop(node.backend, "SIGKILL");
   await Promise.all([lookup, refund]);
   await callers.call({ path: "/prices/down" });
   await fleet.fleet.startBackend({ id: "again", address, egress });
   await waitUntil("the backend server", async () => {
-    const [seen] = await callers.call({ path: "/prices/after" });
-    return seen === "200 ran";
+    const [answer] = await callers.call({ path: "/prices/after" });
+    return answer === "200 ran";
   });
   return [await fleet.finishRecording(node, "backend_killed")];
 }
 
-/** A node is killed with a request running; the caller's node asks it. */
+/** A node is killed while it runs a request from another node. */
 export async function recordNodeKilled(
   fleet: NodeFleet,
 ): Promise<readonly Recording[]> {
@@ -68,7 +69,7 @@
   const entry = await fleet.startRecorded({ service: "tillside" });
   await entry.callers.call({ path: "/prices/before" });
   const refund = callRefund(entry, SLOW);
-  await waitRun(catalog, "/refunds");
+  await waitForRun(catalog, "/refunds");
   await fleet.fleet.stop(catalog, "SIGKILL");
   await refund;
   await entry.callers.call({ path: "/prices/after" });
@@ -81,8 +82,8 @@
 }
 
 /**
- * A node drains while calls run and further ones come; the entry node is cut
- * off from control, so that it hears of the drain from the answers alone.
+ * A node drains while calls run and further ones arrive. The entry node is
+ * disconnected from control, so it learns of the drain only from answers.
  */
 export async function recordDrain(
   fleet: NodeFleet,
@@ -91,20 +92,21 @@
   const node = await fleet.startRecorded({ service: "catalog" });
   const replicas = [relay.address];
   const entry = await fleet.startRecorded({ service: "tillside", replicas });
-  const at = (path: string) => node.callers.call({ path, headers: SLOW });
-  const through = (path: string) => entry.callers.call({ path, headers: SLOW });
+  const callNode = (path: string) => node.callers.call({ path, headers: SLOW });
+  const callEntry = (path: string) =>
+    entry.callers.call({ path, headers: SLOW });
   await entry.callers.call({ path: "/prices/before" });
   const running = [
-    ...["/prices/a", "/prices/b"].map(at),
-    ...["/prices/c", "/prices/d"].map(through),
+    ...["/prices/a", "/prices/b"].map(callNode),
+    ...["/prices/c", "/prices/d"].map(callEntry),
   ];
   for (const path of ["a", "b", "c", "d"]) {
-    await waitRun(node, `/prices/${path}`);
+    await waitForRun(node, `/prices/${path}`);
   }
   await cutRelay(relay);
   await drainNode(node);
-  running.push(...["/prices/e", "/prices/f"].map(at));
-  running.push(...["/prices/g", "/prices/h"].map(through));
+  running.push(...["/prices/e", "/prices/f"].map(callNode));
+  running.push(...["/prices/g", "/prices/h"].map(callEntry));
   await Promise.all(running);
   return [
     await fleet.finishRecording(node, "drain_under_load"),
@@ -112,7 +114,7 @@
   ];
 }
 
-/** Answers end before they are whole. */
+/** Backend servers close the connection in the middle of an answer. */
 export async function recordCutAnswers(
   fleet: NodeFleet,
 ): Promise<readonly Recording[]> {
@@ -130,7 +132,10 @@
   ];
 }
 
-/** A node loses control while edits go on, serves on, and catches up. */
+/**
+ * A node loses its connection to control, continues to serve calls, and gets
+ * the table edited meanwhile once it is connected again.
+ */
 export async function recordControlPartition(
   fleet: NodeFleet,
 ): Promise<readonly Recording[]> {
@@ -147,7 +152,7 @@
   return [await fleet.finishRecording(node, "control_partition")];
 }
 
-/** A request ends each backend server that runs it, and is sent again. */
+/** A request crashes each backend server that runs it, and is resent. */
 export async function recordCrashingRequest(
   fleet: NodeFleet,
 ): Promise<readonly Recording[]> {
@@ -172,13 +177,13 @@
   return relay;
 }
 
-/** Open connections go silent, and new ones lead nowhere. */
+/** Stops data on open connections, and sends new ones to an unused address. */
 async function cutRelay(relay: Relay): Promise<void> {
   relay.target = await findAddress();
   relay.breakOpen("silent");
 }
 
-/** Makes refunds run at catalog, at most once but without a key. */
+/** Routes refunds to catalog, and runs them without a key, at most once each. */
 async function allowRefundsWithoutKey(fleet: NodeFleet): Promise<void> {
   const cells = ["service=catalog", "key=none"];
   await fleet.runCommand("table", "edit", "refund", ...cells);
--- a/scripts/traces/node_fleet.ts
+++ b/scripts/traces/node_fleet.ts
@@ -1,4 +1,4 @@
-/** A small fleet whose nodes record, for the faults that nodes see. */
+/** A small fleet whose nodes record traces, for faults that affect nodes. */
 import { join } from "node:path";
 import { request } from "undici";
 import { Fleet, readRuns } from "../../standin/fleet.ts";
@@ -13,29 +13,30 @@
 
 const TABLE = "examples/toy-trust/table.csv";
 
-/** A node that records, and its callers. */
+/** A node that records a trace, and its callers. */
 export interface RecordedNode extends FleetNode {
   readonly callers: Callers;
+  /** Path of the trace. */
   readonly file: string;
 }
 
-/** Owns a fleet with one control replica and the Toy Trust's table. */
+/** Owns a fleet with one control replica and the table at `TABLE`. */
 export class NodeFleet implements AsyncDisposable {
   readonly fleet = new Fleet();
   #control: FleetControl | undefined;
 
-  /** The control replica; only after `open`. */
+  /** The control replica; available only after `open`. */
   get control(): FleetControl {
     return this.#control!;
   }
 
-  /** Starts control and puts the table in force. */
+  /** Starts the control replica and applies the table. */
   async open(): Promise<void> {
     this.#control = await this.fleet.startControl("control-a", "hall-a");
     await this.runCommand("table", "apply", TABLE);
   }
 
-  /** Starts a node that records, in hall-a unless said otherwise. */
+  /** Starts the first node of a service, with recording, in hall-a. */
   async startRecorded(
     options: Omit<FleetNodeOptions, "dataCentre" | "id">,
   ): Promise<RecordedNode> {
@@ -45,7 +46,7 @@
     return { ...node, file, callers: new Callers(node.edge) };
   }
 
-  /** Starts a node and waits until it has the table. */
+  /** Starts a node in hall-a and waits until it has the table. */
   async startNode(
     options: Omit<FleetNodeOptions, "dataCentre">,
   ): Promise<FleetNode> {
@@ -60,7 +61,7 @@
     return node;
   }
 
-  /** Runs a command that must succeed. */
+  /** Runs a `basilpin` command; throws if it fails. */
   async runCommand(...args: readonly string[]): Promise<void> {
     const { exitCode, stderr } = await this.fleet.run(...args);
     if (exitCode !== 0) {
@@ -68,11 +69,11 @@
     }
   }
 
-  /** Stops a node gracefully and hands its recording over. */
+  /** Stops a node gracefully and returns its recording; throws if it fails. */
   async finishRecording(node: RecordedNode, name: string): Promise<Recording> {
     const exitCode = await this.fleet.stop(node);
     if (exitCode !== 0) {
-      throw new Error(`${node.id} ended with ${exitCode}`);
+      throw new Error(`${node.id} exited with code ${exitCode}`);
     }
     const calls = node.callers.observed;
     return { name, file: node.file, observation: { role: "node", calls } };
@@ -90,8 +91,11 @@
   return status.tableVersion;
 }
 
-/** Waits until a backend server runs the request of a key or path. */
-export async function waitRun(node: FleetNode, key: string): Promise<void> {
+/**
+ * Waits until the backend server of a node has started a request with this key, or
+ * to this path if it has no key.
+ */
+export async function waitForRun(node: FleetNode, key: string): Promise<void> {
   await waitUntil(`a run of ${key}`, async () => {
     const { byKey } = await readRuns(node.backendAddress);
     return byKey[key] !== undefined;
--- a/scripts/traces/overload_faults.ts
+++ b/scripts/traces/overload_faults.ts
@@ -1,13 +1,17 @@
 /** Recordings of overload: stragglers, surges, resends, cold starts. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { setBehaviour } from "../../standin/fleet.ts";
-import { NodeFleet, waitRun } from "./node_fleet.ts";
+import { NodeFleet, waitForRun } from "./node_fleet.ts";
 import type { Recording } from "./recording.ts";
 
 const SURGE_CALLS = 40;
+/** Time after its start in which the backend server is slow. */
 const COLD_MS = 3_000;
 
-/** A service two calls below the edge becomes a straggler, and recovers. */
+/**
+ * The backend server of a service two calls below the edge becomes a straggler,
+ * which answers far more slowly than before, and recovers.
+ */
 export async function recordStraggler(
   fleet: NodeFleet,
 ): Promise<readonly Recording[]> {
@@ -27,7 +31,7 @@
   return [await fleet.finishRecording(node, "straggler")];
 }
 
-/** Far more calls than slots and queue hold come at once. */
+/** Far more concurrent calls arrive than slots and queue can hold. */
 export async function recordSurge(
   fleet: NodeFleet,
 ): Promise<readonly Recording[]> {
@@ -48,7 +52,7 @@
   return [await fleet.finishRecording(node, "surge")];
 }
 
-/** Callers give up early and send again, time after time. */
+/** Callers disconnect early and resend their calls several times. */
 export async function recordResends(
   fleet: NodeFleet,
 ): Promise<readonly Recording[]> {
@@ -57,42 +61,44 @@
     slots: 2,
     behaviour: { serviceMs: 600 },
   });
-  const insist = async (path: string) => {
+  const callRepeatedly = async (path: string) => {
     for (let resend = 0; resend < 4; resend++) {
-      await node.callers.call({ path, leaveAfterMs: 150 });
+      await node.callers.call({ path, disconnectAfterMs: 150 });
     }
     await node.callers.call({ path });
   };
-  await Promise.all(["a", "b", "c", "d"].map((id) => insist(`/prices/${id}`)));
+  await Promise.all(
+    ["a", "b", "c", "d"].map((id) => callRepeatedly(`/prices/${id}`)),
+  );
   return [await fleet.finishRecording(node, "resends")];
 }
 
-/** A refund whose caller left is sent again under its key. */
+/** A refund is resent under its key after its caller disconnected. */
 export async function recordResentRefund(
   fleet: NodeFleet,
 ): Promise<readonly Recording[]> {
   const node = await fleet.startRecorded({ service: "tillside" });
   const path = "/refunds";
-  const send = (key: string, ms: number, leaveAfterMs?: number) =>
+  const send = (key: string, ms: number, disconnectAfterMs?: number) =>
     node.callers.call({
       method: "POST",
       path,
       headers: { "idempotency-key": key, "x-standin-ms": String(ms) },
-      ...(leaveAfterMs === undefined ? {} : { leaveAfterMs }),
+      ...(disconnectAfterMs === undefined ? {} : { disconnectAfterMs }),
     });
   let probes = 0;
   while ((await send(`probe-${probes++}`, 5))[0] !== "200 ran") {
     await sleep(200);
   }
   await send("refund-1", 400, 200);
-  await waitRun(node, "refund-1");
+  await waitForRun(node, "refund-1");
   await sleep(600);
   await send("refund-1", 400);
   await send("refund-1", 400);
   return [await fleet.finishRecording(node, "resent_refund")];
 }
 
-/** A backend server is slow at first, and calls come at once. */
+/** A backend server is slow after its start, and calls arrive immediately. */
 export async function recordColdStart(
   fleet: NodeFleet,
 ): Promise<readonly Recording[]> {
--- a/scripts/traces/recording.ts
+++ b/scripts/traces/recording.ts
@@ -1,4 +1,4 @@
-/** Checks recordings against what the callers saw, and writes them down. */
+/** Checks recorded traces against outside observations, and stores them. */
 import { readFileSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
 import { err, ok, type Result } from "neverthrow";
@@ -19,26 +19,26 @@
 import { formatCallName } from "./callers.ts";
 import type { ObservedCall } from "./callers.ts";
 
-/** Where recordings are kept. */
+/** Folder of the stored traces. */
 export const TRACE_FOLDER = "traces";
 
-/** What was seen from outside while a process recorded. */
+/** What callers or operators observed while a process recorded its trace. */
 export type Observation =
   | { readonly role: "node"; readonly calls: readonly ObservedCall[] }
   | { readonly role: "control"; readonly outcome: ControlOutcome };
 
-/** A recording, and what it must come to. */
+/** A recorded trace, and the observation that its replay must match. */
 export interface Recording {
-  /** Name of the file, without its ending. */
+  /** Name of the stored file, without its extension. */
   readonly name: string;
-  /** File that the process wrote. */
+  /** Path of the file that the process wrote. */
   readonly file: string;
   readonly observation: Observation;
 }
 
-/** Reads, replays, checks and writes a recording; returns its lines. */
+/** Reads, replays, checks and stores a recording; returns its line count. */
 export function writeRecording(recording: Recording): Result<number, string> {
-  const text = trimTornLine(readFileSync(recording.file, "utf8"));
+  const text = trimIncompleteLine(readFileSync(recording.file, "utf8"));
   const parsed = parseTrace(text);
   if (parsed.isErr()) {
     return err(`line ${parsed.error.line}: ${parsed.error.reason}`);
@@ -49,13 +49,13 @@
   if (differing.length > 0) {
     return err(differing.join("\n"));
   }
-  const whole = text + formatTraceLine({ expected: outcome });
-  writeFileSync(join(TRACE_FOLDER, `${recording.name}.trace`), whole);
-  return ok(whole.split("\n").length - 1);
+  const completeTrace = text + formatTraceLine({ expected: outcome });
+  writeFileSync(join(TRACE_FOLDER, `${recording.name}.trace`), completeTrace);
+  return ok(completeTrace.split("\n").length - 1);
 }
 
-/** A killed recorder may leave half a line. */
-function trimTornLine(text: string): string {
+/** Removes the incomplete last line that a killed process may leave. */
+function trimIncompleteLine(text: string): string {
   return text.slice(0, text.lastIndexOf("\n") + 1);
 }
 
@@ -70,10 +70,13 @@
   if (trace.role === "control" && observation.role === "control") {
     return compareOutcomes(observation.outcome, outcome);
   }
-  return ["The recording is of another role"];
+  return ["The role of the trace is not that of the observation"];
 }
 
-/** Each call at the edge must have ended as its caller saw it. */
+/**
+ * Compares the replayed answers of calls at the edge with those observed. They
+ * may differ if the caller disconnected, but each call must be in the trace.
+ */
 function compareCalls(
   trace: NodeTrace,
   outcome: NodeOutcome,
@@ -81,21 +84,21 @@
 ): readonly string[] {
   const replayed = collectCalls(trace, outcome);
   const differing: string[] = [];
-  for (const { name, seen, hasLeft } of observed) {
-    const answers = replayed.get(name)?.shift();
-    const isSame = answers?.join() === seen.join();
-    if (answers === undefined || (!isSame && !hasLeft)) {
-      const got = answers?.join() ?? "no such call";
+  for (const { name, answers, hasDisconnected } of observed) {
+    const replayedAnswers = replayed.get(name)?.shift();
+    const isEqual = replayedAnswers?.join() === answers.join();
+    if (replayedAnswers === undefined || (!isEqual && !hasDisconnected)) {
+      const actual = replayedAnswers?.join() ?? "no such call";
       differing.push(
-        `${name}: callers saw ${seen.join()}, replay gives ${got}`,
+        `${name}: caller received ${answers.join()}, replay yields ${actual}`,
       );
     }
   }
-  const left = [...replayed].filter(([, calls]) => calls.length > 0);
-  return [...differing, ...left.map(([name]) => `${name}: not observed`)];
+  const unobserved = [...replayed].filter(([, calls]) => calls.length > 0);
+  return [...differing, ...unobserved.map(([name]) => `${name}: not observed`)];
 }
 
-/** Lists the answers to each call at the edge, by name, in their order. */
+/** Collects the answers to calls at the edge, by name, in order of arrival. */
 function collectCalls(
   trace: NodeTrace,
   outcome: NodeOutcome,
