--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -1,4 +1,7 @@
-/** Slopes of control: bytes, processor time and memory a node and an edit. */
+/**
+ * Measures how bytes, processor time and memory of control grow with the number
+ * of nodes and edits.
+ */
 import { writeReport } from "./report.ts";
 import { computeMedian, readBenchOptions, writeFigures } from "./report.ts";
 import { measureMemory } from "./capacity_memory.ts";
@@ -8,7 +11,8 @@
 const NODE_COUNTS = [10, 50, 200];
 const REPLICA_COUNTS = [1, 3];
 const DEFAULT_RUNS = 3;
-const WIDTH = 10;
+/** Width of a column, in characters. */
+const COLUMN_WIDTH = 10;
 
 const COLUMNS = [
   ["nodes", "nodes"],
@@ -26,7 +30,7 @@
   ["ctl MiB", "controlMib"],
 ] as const;
 
-/** The median of each figure over the runs of one size. */
+/** Takes the median of each figure over the runs of one fleet size. */
 function mergeRuns(runs: readonly ControlFigure[]): ControlFigure {
   const keys = Object.keys(runs[0]!) as (keyof ControlFigure)[];
   return Object.fromEntries(
@@ -34,19 +38,19 @@
   ) as unknown as ControlFigure;
 }
 
-/** Least squares: what one node more adds to `pick`. */
+/** Computes the increase of `pick` per node by linear least squares. */
 function computeSlope(
   figures: readonly ControlFigure[],
   pick: (figure: ControlFigure) => number,
 ): number {
   const meanX = figures.reduce((s, f) => s + f.nodes, 0) / figures.length;
   const meanY = figures.reduce((s, f) => s + pick(f), 0) / figures.length;
-  const top = figures.reduce(
+  const covariance = figures.reduce(
     (s, f) => s + (f.nodes - meanX) * (pick(f) - meanY),
     0,
   );
-  const bottom = figures.reduce((s, f) => s + (f.nodes - meanX) ** 2, 0);
-  return top / bottom;
+  const variance = figures.reduce((s, f) => s + (f.nodes - meanX) ** 2, 0);
+  return covariance / variance;
 }
 
 const options = readBenchOptions("bench:capacity", DEFAULT_RUNS);
@@ -67,28 +71,28 @@
   `medians of ${options.runs} runs; light nodes in 4 processes; bytes are ` +
     "message payloads; ctl is one control process, the busiest",
 );
-writeReport(COLUMNS.map(([title]) => title.padStart(WIDTH)).join(" "));
+writeReport(COLUMNS.map(([title]) => title.padStart(COLUMN_WIDTH)).join(" "));
 for (const figure of figures) {
   writeReport(
     COLUMNS.map(([, key]) => {
       const digits = key === "nodes" || key === "replicas" ? 0 : 2;
-      return figure[key].toFixed(digits).padStart(WIDTH);
+      return figure[key].toFixed(digits).padStart(COLUMN_WIDTH);
     }).join(" "),
   );
 }
 const slopes = REPLICA_COUNTS.map((replicas) => {
-  const some = figures.filter((figure) => figure.replicas === replicas);
+  const ofReplicas = figures.filter((figure) => figure.replicas === replicas);
   return {
     replicas,
     controlCpuMsPerSecondPerNode: computeSlope(
-      some,
+      ofReplicas,
       (figure) => figure.controlCpuMsPerSecond,
     ),
     controlCpuMsPerEditPerNode: computeSlope(
-      some,
+      ofReplicas,
       (figure) => figure.controlCpuMsPerEdit,
     ),
-    controlMibPerNode: computeSlope(some, (figure) => figure.controlMib),
+    controlMibPerNode: computeSlope(ofReplicas, (figure) => figure.controlMib),
   };
 });
 for (const slope of slopes) {
@@ -105,6 +109,6 @@
 );
 writeReport("resident memory, MiB");
 for (const { name, mib } of memory) {
-  writeReport(`${mib.toFixed(1).padStart(WIDTH)} ${name}`);
+  writeReport(`${mib.toFixed(1).padStart(COLUMN_WIDTH)} ${name}`);
 }
 writeFigures(options, { runs: options.runs, figures, slopes, real, memory });
--- a/bench/capacity_control.ts
+++ b/bench/capacity_control.ts
@@ -1,4 +1,4 @@
-/** Light nodes against real control processes: one size, one run. */
+/** Measures light nodes against real control processes, one run of one size. */
 import { randomUUID } from "node:crypto";
 import { setTimeout as sleep } from "node:timers/promises";
 import { performance } from "node:perf_hooks";
@@ -12,7 +12,7 @@
 import { LightFleet } from "./light_fleet.ts";
 import { readCpuMs, readResidentMib } from "./process_probe.ts";
 
-/** What one run shows. */
+/** Figures of one run. */
 export interface ControlFigure {
   readonly nodes: number;
   readonly replicas: number;
@@ -23,10 +23,11 @@
   readonly nodeBytesPerEdit: number;
   readonly controlCpuMsPerEdit: number;
   readonly controlCpuMsPerAnnouncement: number;
-  /** From the request of the edit to its being in force, over all nodes. */
+  /** Time from sending an edit until a node has it in force, over all nodes. */
   readonly inForceP50Ms: number;
   readonly inForceP99Ms: number;
   readonly inForceMaxMs: number;
+  /** Resident memory of the largest control process. */
   readonly controlMib: number;
 }
 
@@ -36,7 +37,7 @@
 const EDIT_GAP_MS = 200;
 const TABLE = "examples/coton-loukkos/table.csv";
 const KIND = "bale-lookup";
-const WAIT_MS = 20_000;
+const WAIT_LIMIT_MS = 20_000;
 const MS_PER_SECOND = 1_000;
 const REAL_NODES = 3;
 
@@ -56,15 +57,15 @@
   for (const { operator } of controls) {
     await fleet.run("--control", operator, "table", "apply", TABLE);
   }
-  await waitMembers(controls, nodes);
-  // The complete lists at the end of the warm-up belong to no window.
+  await waitForMembers(controls, nodes);
+  // The complete member lists sent at the end of the warm-up are not measured.
   await sleep(WARM_UP_MS);
   const idle = await measureWindow(controls, light, () => sleep(IDLE_MS));
   const sentAtMs = new Map<number, number>();
   const edits = await measureWindow(
     controls,
     light,
-    () => makeEdits(controls, sentAtMs),
+    () => sendEdits(controls, sentAtMs),
   );
   const announced = await measureWindow(controls, light, async () => {
     await light.announce();
@@ -76,7 +77,9 @@
     .map(([version, atMs]) => atMs - sentAtMs.get(version)!)
     .toSorted((a, b) => a - b);
   if (delays.length !== nodes * EDITS) {
-    throw new Error(`${delays.length} of ${nodes * EDITS} edits in force`);
+    throw new Error(
+      `${delays.length} of ${nodes * EDITS} edits came into force at the nodes`,
+    );
   }
   const perSecond = (value: number) => value / idle.seconds;
   const idleCpu = perSecond(idle.controlCpuMs);
@@ -103,7 +106,7 @@
   };
 }
 
-/** Measures a few real node processes that serve nothing. */
+/** Measures the processor time of a few real node processes without calls. */
 export async function measureRealNodes(): Promise<
   { readonly count: number; readonly idleCpuMsPerSecond: number }
 > {
@@ -128,10 +131,12 @@
   return { count: REAL_NODES, idleCpuMsPerSecond };
 }
 
-interface Window {
+/** Totals over a measured interval. */
+interface WindowTotals {
   readonly seconds: number;
-  /** Of the busiest control process. */
+  /** Processor time of the busiest control process. */
   readonly controlCpuMs: number;
+  /** Processor time of all processes of light nodes. */
   readonly lightCpuMs: number;
   readonly bytes: number;
   readonly messages: number;
@@ -141,7 +146,7 @@
   controls: readonly FleetControl[],
   light: LightFleet,
   run: () => Promise<void>,
-): Promise<Window> {
+): Promise<WindowTotals> {
   const before = await light.read();
   const cpuBefore = controls.map(({ child }) => readCpuMs(child.pid!));
   const startedAtMs = performance.now();
@@ -162,10 +167,10 @@
 }
 
 /**
- * Sends each edit to every replica under one edit id: with a replicated log
- * the second one gets the first answer, without it each takes the edit.
+ * Sends each edit to every replica under the same edit id. Replicas that share
+ * a log apply it once and repeat the first answer; others each apply it.
  */
-async function makeEdits(
+async function sendEdits(
   controls: readonly FleetControl[],
   sentAtMs: Map<number, number>,
 ): Promise<void> {
@@ -199,11 +204,11 @@
   }
 }
 
-async function waitMembers(
+async function waitForMembers(
   controls: readonly FleetControl[],
   nodes: number,
 ): Promise<void> {
-  const endMs = Date.now() + WAIT_MS;
+  const endMs = Date.now() + WAIT_LIMIT_MS;
   for (const { operator } of controls) {
     for (;;) {
       const { body } = await request(`http://${operator}/status`);
@@ -214,7 +219,9 @@
         break;
       }
       if (Date.now() > endMs) {
-        throw new Error(`${status.nodes.length} of ${nodes} nodes in time`);
+        throw new Error(
+          `${status.nodes.length} of ${nodes} nodes listed before the timeout`,
+        );
       }
       await sleep(100);
     }
--- a/bench/capacity_memory.ts
+++ b/bench/capacity_memory.ts
@@ -1,4 +1,4 @@
-/** Resident memory: bare runtime, libraries, and a node with its state. */
+/** Measures resident memory of the runtime, of libraries and of a node. */
 import { spawn } from "node:child_process";
 import { once } from "node:events";
 import process from "node:process";
@@ -8,7 +8,7 @@
 import { readResidentMib } from "./process_probe.ts";
 import { computeMedian } from "./report.ts";
 
-/** Memory of one kind of process. */
+/** Median resident memory of one kind of process. */
 export interface MemoryFigure {
   readonly name: string;
   readonly mib: number;
@@ -17,7 +17,7 @@
 const SETTLE_MS = 2_000;
 const REQUESTS = 2_000;
 const TABLE = "examples/coton-loukkos/table.csv";
-/** What a node loads, in the order in which it is added up. */
+/** Libraries of a node; each entry is measured with all before it. */
 const LIBRARIES = [
   ["node:http"],
   ["ws"],
@@ -28,6 +28,7 @@
   ["structured-headers"],
   ["@opentelemetry/sdk-metrics", "@opentelemetry/exporter-prometheus"],
 ] as const;
+/** Flags of the runtime; each set is measured on its own. */
 const FLAG_SETS: readonly (readonly string[])[] = [
   [],
   ["--max-semi-space-size=1"],
@@ -42,8 +43,9 @@
 ];
 
 /**
- * Measures all kinds; each figure is a median over `runs` processes. A quick
- * run leaves the flags of the runtime as `basilpind` sets them.
+ * Measures all kinds of process; each figure is a median over `runs` processes.
+ * A quick run measures the node only with the runtime flags that `basilpind`
+ * sets.
  */
 export async function measureMemory(
   runs: number,
@@ -91,7 +93,7 @@
   return mib;
 }
 
-/** A node at rest, one after requests, and that one after a scrape. */
+/** Measures a node when idle, then after requests, then after a scrape. */
 async function measureNode(
   flags: readonly string[],
   runs: number,
@@ -134,7 +136,7 @@
 async function scrape(operator: string): Promise<void> {
   const answer = await fetch(`http://${operator}/metrics`);
   if (!answer.ok) {
-    throw new Error(`Scrape was answered with ${answer.status}`);
+    throw new Error(`Scrape of /metrics answered with status ${answer.status}`);
   }
   await answer.text();
 }
--- a/bench/claims.ts
+++ b/bench/claims.ts
@@ -1,6 +1,6 @@
 /**
- * Added latency of claims among nodes, against the same calls without a key,
- * and the cost of a synced append, which claims in a replicated log would pay.
+ * Measures the latency that claims among nodes add to calls with a key, and the
+ * cost of synced appends, which claims in a replicated log would incur.
  */
 import {
   closeSync,
@@ -31,17 +31,18 @@
 const ENTRY_BYTES = 300;
 const APPENDS = 500;
 const BATCHES = [1, 64, 1_024];
-/** Calls a second that the system is to carry in all. */
+/** Calls per second that the whole system is designed for. */
 const TARGET_CALLS = 2_500_000;
+/** Shares of calls with a key to compute loads for. */
 const KEYED_SHARES = [0.001, 0.01, 0.05];
 const SERVICES = 390;
 const HOLDERS = 3;
-const MICROS = 1_000;
-const HEADER =
+const MICROS_PER_MS = 1_000;
+const TABLE_HEADER =
   "kind,service,method,path,weight,importance,concurrency,rate,queue," +
   "timeout_ms,retries,idempotent,key,max_body_bytes,version";
 const TABLE = [
-  HEADER,
+  TABLE_HEADER,
   "keyed,custody,POST,/keyed,1,9,70,100000,200,5000,2,no,required,65536,",
   "plain,custody,POST,/plain,1,9,70,100000,200,5000,2,no,none,65536,",
 ].join("\n");
@@ -60,7 +61,7 @@
   return { method: "POST", headers, body: '{"bale":7}' } as const;
 }
 
-async function waitServed(urls: readonly string[]): Promise<void> {
+async function waitUntilServed(urls: readonly string[]): Promise<void> {
   for (const url of urls) {
     let status = 0;
     while (status !== 200) {
@@ -78,23 +79,23 @@
   const histogram = build({ lowestDiscernibleValue: 1 });
   const startedAt = performance.now();
   for (let i = 0; i < APPENDS; i++) {
-    const beganAt = performance.now();
+    const appendedAt = performance.now();
     writeSync(file, bytes);
     fdatasyncSync(file);
-    const micros = (performance.now() - beganAt) * MICROS;
+    const micros = (performance.now() - appendedAt) * MICROS_PER_MS;
     histogram.recordValue(Math.max(1, Math.round(micros)));
   }
   const seconds = (performance.now() - startedAt) / 1000;
   closeSync(file);
   return {
     batch,
-    p50Ms: histogram.getValueAtPercentile(50) / MICROS,
-    p99Ms: histogram.getValueAtPercentile(99) / MICROS,
+    p50Ms: histogram.getValueAtPercentile(50) / MICROS_PER_MS,
+    p99Ms: histogram.getValueAtPercentile(99) / MICROS_PER_MS,
     entriesPerSecond: APPENDS * batch / seconds,
   };
 }
 
-function format(values: readonly (string | number)[]): string {
+function formatColumns(values: readonly (string | number)[]): string {
   return values.map((value) =>
     (typeof value === "number" ? value.toFixed(3) : value).padStart(10)
   ).join(" ");
@@ -118,10 +119,10 @@
 if (applied.exitCode !== 0) {
   throw new Error(applied.stderr);
 }
-await waitServed(nodes.map((node) => `http://${node.edge}/keyed`));
+await waitUntilServed(nodes.map((node) => `http://${node.edge}/keyed`));
 const figures = [];
 writeReport(`medians of ${options.runs} runs of ${REQUESTS} requests, ms`);
-writeReport(format(["workers", "claims", "p50", "p99", "+p50", "+p99"]));
+writeReport(formatColumns(["workers", "claims", "p50", "p99", "+p50", "+p99"]));
 for (const workers of WORKERS) {
   const results: Record<"plain" | "keyed", LoadResult[]> = {
     plain: [],
@@ -149,34 +150,43 @@
   const addedP50Ms = on!.p50Ms - off!.p50Ms;
   const addedP99Ms = on!.p99Ms - off!.p99Ms;
   figures.push({ workers, off, on, addedP50Ms, addedP99Ms });
-  writeReport(format([`${workers}`, "off", off!.p50Ms, off!.p99Ms]));
+  writeReport(formatColumns([`${workers}`, "off", off!.p50Ms, off!.p99Ms]));
   writeReport(
-    format([`${workers}`, "on", on!.p50Ms, on!.p99Ms, addedP50Ms, addedP99Ms]),
+    formatColumns([
+      `${workers}`,
+      "on",
+      on!.p50Ms,
+      on!.p99Ms,
+      addedP50Ms,
+      addedP99Ms,
+    ]),
   );
 }
 writeReport(`synced appends of ${ENTRY_BYTES}-byte entries, ms`);
-writeReport(format(["batch", "p50", "p99", "entries/s"]));
+writeReport(formatColumns(["batch", "p50", "p99", "entries/s"]));
 const appends = BATCHES.map((batch) => measureAppends(fleet.folder, batch));
 for (const { batch, p50Ms, p99Ms, entriesPerSecond } of appends) {
-  writeReport(format([`${batch}`, p50Ms, p99Ms, entriesPerSecond.toFixed(0)]));
+  writeReport(
+    formatColumns([`${batch}`, p50Ms, p99Ms, entriesPerSecond.toFixed(0)]),
+  );
 }
 writeReport(`at ${TARGET_CALLS} calls a second in ${SERVICES} services`);
 writeReport(
-  format(["share", "entries/s", "holder/s", "peer msg/s"]),
+  formatColumns(["share", "entries/s", "holder/s", "peer msg/s"]),
 );
 const loads = KEYED_SHARES.map((share) => {
   const keyed = TARGET_CALLS * share;
   return {
     share,
-    /** A claim and an outcome each, through one log. */
+    /** A claim and an outcome for each call, in one log. */
     logEntriesPerSecond: keyed * 2,
-    /** Messages that one holder answers. */
+    /** Messages that one holder receives and answers. */
     holderMessagesPerSecond: keyed * 2 / SERVICES,
     peerMessagesPerSecond: keyed * 2 * HOLDERS,
   };
 });
 for (const load of loads) {
-  writeReport(format([
+  writeReport(formatColumns([
     load.share,
     load.logEntriesPerSecond.toFixed(0),
     load.holderMessagesPerSecond.toFixed(0),
--- a/demo/demo.ts
+++ b/demo/demo.ts
@@ -1,7 +1,7 @@
 /**
- * The demo: the Consortium's four services in four data centres on loopback.
- * Sends lookups, transfers and photo batches for some seconds and prints what
- * came of them.
+ * Demo: four services in four data centres, all on the loopback interface. Sends
+ * lookups, transfers and photo batches for a few seconds, at normal load and in
+ * a surge, and prints the outcomes.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { request } from "undici";
@@ -17,20 +17,22 @@
 const DATA_CENTRES = ["kenitra-a", "kenitra-b", "larache-a", "larache-b"];
 const SERVICES = ["provenance", "custody", "classing", "warehouse"];
 const SLOTS = 8;
-const RUN_MS = 4_000;
-/** Callers that call at a time, by phase. */
+const PHASE_MS = 4_000;
+/** Name of each phase and its number of concurrent callers. */
 const PHASES = [["Calm", 24], ["Surge", 240]] as const;
-/** How long a caller waits after an answer that isn't whole. */
-const PAUSE_MS = 50;
+/** Time that a caller waits after a call without a complete answer. */
+const RETRY_DELAY_MS = 50;
 const BATCH_BYTES = 200_000;
 const TABLE = "examples/coton-loukkos/table.csv";
 
+/** Counts of calls of one kind in a phase, by outcome. */
 interface Tally {
   sent: number;
+  /** Calls with a complete answer. */
   whole: number;
-  /** Refused as "not run". */
+  /** Calls refused with the outcome `not-run`. */
   refused: number;
-  /** Other answers, cut ones and outcomes unknown. */
+  /** Calls with other answers, truncated answers or unknown outcomes. */
   other: number;
 }
 
@@ -60,7 +62,7 @@
   return { kind: "bale-lookup", method: "GET", path: `/bales/${n}` };
 }
 
-/** Makes one call; returns whether its answer was whole. */
+/** Makes one call and counts it; returns whether its answer was complete. */
 async function sendCall(edge: string, call: Call): Promise<boolean> {
   const tally = tallies.get(call.kind) ??
     { sent: 0, whole: 0, refused: 0, other: 0 };
@@ -73,13 +75,13 @@
       body: call.body ?? null,
     });
     const body = await answer.body.json() as { bodyBytes?: number };
-    const isWhole = answer.statusCode === 200 &&
+    const isComplete = answer.statusCode === 200 &&
       body.bodyBytes === (call.body?.length ?? 0);
     const isRefused = answer.headers["basilpin-outcome"] === "not-run";
-    tally.whole += isWhole ? 1 : 0;
-    tally.refused += !isWhole && isRefused ? 1 : 0;
-    tally.other += !isWhole && !isRefused ? 1 : 0;
-    return isWhole;
+    tally.whole += isComplete ? 1 : 0;
+    tally.refused += !isComplete && isRefused ? 1 : 0;
+    tally.other += !isComplete && !isRefused ? 1 : 0;
+    return isComplete;
   } catch {
     tally.other += 1;
     return false;
@@ -89,9 +91,9 @@
 async function runWorker(nodes: readonly FleetNode[], endMs: number) {
   while (Date.now() < endMs) {
     const node = nodes[sequence % nodes.length]!;
-    const isWhole = await sendCall(node.edge, createCall());
-    if (!isWhole) {
-      await sleep(PAUSE_MS);
+    const isComplete = await sendCall(node.edge, createCall());
+    if (!isComplete) {
+      await sleep(RETRY_DELAY_MS);
     }
   }
 }
@@ -118,7 +120,7 @@
   workers: number,
 ): Promise<void> {
   tallies.clear();
-  const endMs = Date.now() + RUN_MS;
+  const endMs = Date.now() + PHASE_MS;
   await Promise.all(
     Array.from({ length: workers }, () => runWorker(nodes, endMs)),
   );
@@ -126,7 +128,7 @@
 
 function printTallies(phase: string, workers: number): void {
   const whole = [...tallies.values()].reduce((sum, t) => sum + t.whole, 0);
-  const seconds = RUN_MS / 1_000;
+  const seconds = PHASE_MS / 1_000;
   writeLine(
     `${phase}: goodput ${(whole / seconds).toFixed(0)} whole answers/s ` +
       `over ${seconds} s from ${workers} callers`,
@@ -141,7 +143,7 @@
   );
 }
 
-/** Prints which version how many nodes have in force, and the replicas. */
+/** Prints how many nodes have the current table, and the replicas. */
 async function printVersion(fleet: Fleet): Promise<void> {
   const { stdout } = await fleet.run("status", "--json");
   const status = JSON.parse(stdout) as StatusAnswer;
@@ -161,6 +163,7 @@
   );
 }
 
+/** Prints the time line of the last custody transfer that ended. */
 async function printTransfer(fleet: Fleet): Promise<void> {
   const { stdout } = await fleet.run("timeline", "--json");
   const records = JSON.parse(stdout) as readonly TimelineRecord[];
@@ -172,14 +175,14 @@
     return;
   }
   const { requestId } = ended.event;
-  const one = records.filter(({ event }) =>
+  const transferRecords = records.filter(({ event }) =>
     "requestId" in event && event.requestId === requestId
   );
-  const startMs = one[0]!.at.wallMs;
+  const startMs = transferRecords[0]!.at.wallMs;
   writeLine(`Time line of custody transfer ${requestId}`);
   writeColumns(
     ["AFTER", "PROCESS", "EVENT", ""],
-    one.map(({ at, process, event }) => [
+    transferRecords.map(({ at, process, event }) => [
       `${at.wallMs - startMs} ms`,
       process,
       event.type,
@@ -213,7 +216,7 @@
 const nodes = await startNodes(fleet);
 const applied = await fleet.run("table", "apply", TABLE, "--wait");
 if (applied.exitCode !== 0) {
-  throw new Error(`The table was not accepted: ${applied.stderr}`);
+  throw new Error(`Table not accepted: ${applied.stderr}`);
 }
 writeLine(applied.stdout);
 for (const [phase, workers] of PHASES) {
--- a/demo/embed.ts
+++ b/demo/embed.ts
@@ -1,4 +1,4 @@
-/** Admission alone, embedded: the example of the README. */
+/** Uses admission control as a library, without a node. */
 import { readFileSync } from "node:fs";
 import { createAdmission, parseTableCsv, reduceAdmission } from "../src/mod.ts";
 
