--- a/bench/hop.ts
+++ b/bench/hop.ts
@@ -1,6 +1,6 @@
 /**
- * Added latency of one hop and of two against a direct call, in one run: the
- * hop over HTTP, and the one over framed links.
+ * Measures the latency that one node and two nodes add to a direct call, over
+ * HTTP and over framed links, in one run.
  */
 import { createHopPaths } from "../platform/bench/hop_paths.ts";
 import { Fleet } from "../standin/fleet.ts";
@@ -18,31 +18,32 @@
 const DEFAULT_RUNS = 5;
 const TABLE = "examples/coton-loukkos/table.csv";
 
-/** One table of the report. */
+/** A load pattern; the report has one table for each. */
 interface Load {
   readonly name: string;
+  /** Sends the requests of one run. */
   readonly run: (target: HopTarget) => Promise<LoadResult>;
   readonly requests: number;
 }
 
-/** Where requests of a path go, and how they look. */
+/** Address and form of the requests on one call path. */
 interface HopTarget {
   readonly url: string;
   readonly createOptions?: () => RequestShape;
 }
 
-/** One way to a backend server, with the nodes on it. */
+/** One call path to a backend server, with the processes of its nodes. */
 interface HopPath extends HopTarget {
   readonly path: string;
   readonly pids: readonly number[];
 }
 
 const REQUESTS = 3_000;
-/** Under the rate of the row, and well under what one node carries. */
+/** Below the rate limit of the row and well below the capacity of one node. */
 const PER_SECOND = 500;
 const DURATION_MS = 6_000;
 
-/** One caller that waits for each answer, and many that don't. */
+/** One caller that waits for each answer, and arrivals independent of them. */
 const LOADS: readonly Load[] = [
   {
     name: "one at a time",
@@ -70,7 +71,7 @@
   readonly ratioP50: number;
   /** Processor time of both nodes for one call, in microseconds. */
   readonly nodeCpuMicros: number;
-  /** System calls of both nodes that read or wrote, for one call. */
+  /** Read and write system calls of both nodes, for one call. */
   readonly nodeIoCalls: number;
   /** Bytes that both nodes read or wrote, for one call. */
   readonly nodeIoBytes: number;
@@ -97,22 +98,22 @@
   id: "provenance-1",
   service: "provenance",
 });
-const other = await fleet.startNode({
+const remote = await fleet.startNode({
   ...common,
   id: "custody-1",
   service: "custody",
 });
 await fleet.run("table", "apply", TABLE, "--wait");
 await using framed = await createHopPaths();
-const pids = [backend.child.pid!, other.child.pid!];
+const pids = [backend.child.pid!, remote.child.pid!];
 const paths: readonly HopPath[] = [
   { path: "direct", url: `http://${backend.backendAddress}/bales/1`, pids },
   { path: "one node", url: `http://${backend.edge}/bales/1`, pids },
-  { path: "two nodes", url: `http://${other.edge}/bales/1`, pids },
+  { path: "two nodes", url: `http://${remote.edge}/bales/1`, pids },
   ...framed.paths,
 ];
 
-function readNodes(pids: readonly number[]) {
+function readNodeTotals(pids: readonly number[]) {
   const io = pids.map(readProcessIo);
   return {
     cpuMs: pids.reduce((sum, pid) => sum + readProcessCpuMs(pid), 0),
@@ -123,12 +124,12 @@
 
 async function measurePath(path: HopPath, load: Load): Promise<HopResult> {
   await runLoad({ ...path, workers: 1, requests: WARM_UP });
-  const before = readNodes(path.pids);
+  const before = readNodeTotals(path.pids);
   const result = await load.run(path);
   if (result.failed > 0) {
     throw new Error(`${path.path}: ${result.failed} requests failed`);
   }
-  const after = readNodes(path.pids);
+  const after = readNodeTotals(path.pids);
   const { requests } = result;
   return {
     ...result,
@@ -138,26 +139,26 @@
   };
 }
 
-/** Takes the paths in turn, so that a busy spell meets all of them. */
+/** Alternates between the paths, so that other load of the machine affects all. */
 async function measureLoad(load: Load): Promise<readonly Figure[]> {
   const results = paths.map((): HopResult[] => []);
   for (let run = 0; run < options.runs; run++) {
-    for (const [at, path] of paths.entries()) {
-      results[at]!.push(await measurePath(path, load));
+    for (const [index, path] of paths.entries()) {
+      results[index]!.push(await measurePath(path, load));
     }
   }
-  const medians = paths.map(({ path }, at) => ({
+  const medians = paths.map(({ path }, index) => ({
     path,
-    p50Ms: computeMedian(results[at]!.map((result) => result.p50Ms)),
-    p99Ms: computeMedian(results[at]!.map((result) => result.p99Ms)),
+    p50Ms: computeMedian(results[index]!.map((result) => result.p50Ms)),
+    p99Ms: computeMedian(results[index]!.map((result) => result.p99Ms)),
     nodeCpuMicros: computeMedian(
-      results[at]!.map((result) => result.nodeCpuMicros),
+      results[index]!.map((result) => result.nodeCpuMicros),
     ),
     nodeIoCalls: computeMedian(
-      results[at]!.map((result) => result.nodeIoCalls),
+      results[index]!.map((result) => result.nodeIoCalls),
     ),
     nodeIoBytes: computeMedian(
-      results[at]!.map((result) => result.nodeIoBytes),
+      results[index]!.map((result) => result.nodeIoBytes),
     ),
   }));
   const direct = medians[0]!;
@@ -207,6 +208,6 @@
   tables,
 });
 if (options.profile !== undefined) {
-  // A profile is written only where its process ends by itself.
-  await Promise.all([fleet.stop(backend), fleet.stop(other)]);
+  // A process writes its profile only when it exits by itself.
+  await Promise.all([fleet.stop(backend), fleet.stop(remote)]);
 }
--- a/bench/light_fleet.ts
+++ b/bench/light_fleet.ts
@@ -1,45 +1,46 @@
-/** A few processes that hold the light nodes of a bench. */
+/** Runs the light nodes of a benchmark in a few processes. */
 import { fork } from "node:child_process";
 import type { ChildProcess } from "node:child_process";
 import { once } from "node:events";
 import { fileURLToPath } from "node:url";
 import type { LightReport, LightRequest } from "./light_nodes.ts";
 
-const PROCESSES = 4;
+const PROCESS_COUNT = 4;
 
-/** Sums over all processes. */
+/** Totals over all processes, since their start. */
 export interface LightTotals {
   readonly cpuMs: number;
   readonly sentBytes: number;
   readonly receivedBytes: number;
   readonly messages: number;
+  /** Table version, and epoch milliseconds when a node had it in force. */
   readonly inForceAtMs: readonly (readonly [number, number])[];
 }
 
-/** Starts the processes and ends them. */
+/** Owns the processes of light nodes. */
 export class LightFleet implements AsyncDisposable {
   readonly #children: readonly ChildProcess[];
 
   constructor() {
     const program = fileURLToPath(new URL("light_nodes.js", import.meta.url));
-    this.#children = Array.from({ length: PROCESSES }, () => fork(program));
+    this.#children = Array.from({ length: PROCESS_COUNT }, () => fork(program));
   }
 
-  /** Spreads `count` nodes over the processes. */
+  /** Starts `count` nodes, distributed over the processes. */
   async start(count: number, replicas: readonly string[]): Promise<void> {
     await Promise.all(this.#children.map((child, index) => {
       const numbers = Array.from({ length: count }, (_, n) => n)
-        .filter((n) => n % PROCESSES === index);
+        .filter((n) => n % PROCESS_COUNT === index);
       return ask(child, { type: "Start", numbers, replicas });
     }));
   }
 
-  /** Lets every node announce a change. */
+  /** Makes every node announce a change. */
   async announce(): Promise<void> {
     await this.#askAll({ type: "Announce" });
   }
 
-  /** Reads the sums. */
+  /** Reads the totals of all processes. */
   async read(): Promise<LightTotals> {
     const reports = await this.#askAll({ type: "Read" });
     const sum = (pick: (report: LightReport) => number) =>
--- a/bench/light_nodes.ts
+++ b/bench/light_nodes.ts
@@ -1,4 +1,7 @@
-/** Many light nodes in one process: real links and tables, no calls. */
+/**
+ * Runs many light nodes in one process. A light node has a real link to control
+ * and a real table, but serves no calls.
+ */
 import { performance } from "node:perf_hooks";
 import process from "node:process";
 import type {
@@ -12,32 +15,35 @@
 import { EMPTY_TABLE } from "../src/engine/table/common/table_row.ts";
 import type { Table } from "../src/engine/table/common/table_row.ts";
 
-/** What the bench asks of a process of light nodes. */
+/** A request of the benchmark to a process of light nodes. */
 export type LightRequest =
   | {
     readonly type: "Start";
-    /** Numbers of the nodes. */
+    /** Numbers of the nodes to start. */
     readonly numbers: readonly number[];
+    /** Link addresses of the control replicas. */
     readonly replicas: readonly string[];
   }
   | { readonly type: "Read" }
   /** Every node announces a change. */
   | { readonly type: "Announce" };
 
-/** What a process of light nodes answers. */
+/** Answer to each `LightRequest`: totals since the start of the process. */
 export interface LightReport {
   readonly traffic: LinkTraffic;
   /** Processor time since the start, in milliseconds. */
   readonly cpuMs: number;
-  /** Epoch milliseconds at which each node had each version in force. */
+  /** Table version, and epoch milliseconds when a node had it in force. */
   readonly inForceAtMs: readonly (readonly [number, number])[];
 }
 
 /** Nodes of one service: 12,000 nodes in 390 services. */
 const NODES_PER_SERVICE = 31;
+/** Services whose members a node subscribes to. */
 const SUBSCRIBED_SERVICES = 4;
-const MICROS = 1_000;
+const MICROS_PER_MS = 1_000;
 
+/** A node with a link to control and a table, without backend server. */
 class LightNode {
   readonly #link: LinkClient<ControlMessage, NodeMessage>;
   readonly #inForceAtMs: (readonly [number, number])[];
@@ -57,7 +63,8 @@
       id: this.#announcement.nodeId,
       replicas: [...replicas.slice(nearest), ...replicas.slice(0, nearest)],
       onMessage: (message) => this.#receive(message),
-      onOpen: (_replica, linkNumber) => this.#introduce(number, linkNumber),
+      onOpen: (_replica, linkNumber) =>
+        this.#sendFirstMessages(number, linkNumber),
       onClose: () => {},
       readConfirmed: () => undefined,
       createHeartbeat: () => this.#createHeartbeat(),
@@ -79,12 +86,12 @@
     this.#sendAnnouncement();
   }
 
-  #introduce(number: number, linkNumber: number): void {
+  #sendFirstMessages(number: number, linkNumber: number): void {
     this.#linkNumber = linkNumber;
     this.#sendAnnouncement();
-    const first = Math.floor(number / NODES_PER_SERVICE);
+    const firstService = Math.floor(number / NODES_PER_SERVICE);
     for (let index = 0; index < SUBSCRIBED_SERVICES; index++) {
-      const service = `service-${first + index}`;
+      const service = `service-${firstService + index}`;
       this.#link.send({ type: "Subscribe", service });
     }
   }
@@ -158,7 +165,7 @@
       receivedBytes: sum((traffic) => traffic.receivedBytes),
       receivedCount: sum((traffic) => traffic.receivedCount),
     },
-    cpuMs: (user + system) / MICROS,
+    cpuMs: (user + system) / MICROS_PER_MS,
     inForceAtMs: [...inForceAtMs],
   };
 }
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -1,20 +1,21 @@
-/** Closed-loop and open-loop load over keep-alive connections, with a histogram. */
+/** Closed-loop and open-loop load over keep-alive connections. */
 import { performance } from "node:perf_hooks";
 import { setTimeout as sleep } from "node:timers/promises";
 import { build } from "hdr-histogram-js";
 import { Agent, request } from "undici";
 import { createRandom, planArrivals } from "./arrivals.ts";
 
-/** What to send. */
+/** Closed-loop load: each worker sends its next request after an answer. */
 export interface LoadOptions {
   readonly url: string;
   readonly workers: number;
+  /** Number of requests of all workers together. */
   readonly requests: number;
-  /** What each request is sent with; a plain GET where it is left out. */
+  /** Creates the form of each request; plain GET requests if undefined. */
   readonly createOptions?: () => RequestShape;
 }
 
-/** How one request differs from a plain GET. */
+/** Method, headers and body of one request. */
 export interface RequestShape {
   readonly method: "GET" | "POST";
   readonly headers: Readonly<Record<string, string>>;
@@ -25,57 +26,59 @@
 export interface LoadResult {
   readonly p50Ms: number;
   readonly p99Ms: number;
+  /** Number of answers with a status other than 200. */
   readonly failed: number;
-  /** Requests that were sent. */
+  /** Number of requests sent. */
   readonly requests: number;
 }
 
-const MICROS = 1_000;
+const MICROS_PER_MS = 1_000;
 const SEED = 1;
-/** Most connections of an open-loop load. */
+/** Largest number of connections of an open-loop load. */
 const MAX_CONNECTIONS = 64;
 
-/** Sends `requests` in all from `workers` loops, one at a time each. */
+/** Sends `requests` requests from `workers` concurrent loops. */
 export async function runLoad(options: LoadOptions): Promise<LoadResult> {
   const agent = new Agent({ connections: options.workers, pipelining: 1 });
   const histogram = build({ lowestDiscernibleValue: 1 });
-  let left = options.requests;
+  let remaining = options.requests;
   let failed = 0;
-  const work = async () => {
-    while (left > 0) {
-      left -= 1;
+  const runWorker = async () => {
+    while (remaining > 0) {
+      remaining -= 1;
       const startedAt = performance.now();
       const answer = await request(options.url, {
         dispatcher: agent,
         ...options.createOptions?.(),
       });
       await answer.body.dump();
-      const micros = (performance.now() - startedAt) * MICROS;
+      const micros = (performance.now() - startedAt) * MICROS_PER_MS;
       histogram.recordValue(Math.max(1, Math.round(micros)));
       failed += answer.statusCode === 200 ? 0 : 1;
     }
   };
-  await Promise.all(Array.from({ length: options.workers }, work));
+  await Promise.all(Array.from({ length: options.workers }, runWorker));
   await agent.close();
   return {
-    p50Ms: histogram.getValueAtPercentile(50) / MICROS,
-    p99Ms: histogram.getValueAtPercentile(99) / MICROS,
+    p50Ms: histogram.getValueAtPercentile(50) / MICROS_PER_MS,
+    p99Ms: histogram.getValueAtPercentile(99) / MICROS_PER_MS,
     failed,
     requests: options.requests,
   };
 }
 
-/** Requests that come whether or not earlier ones are answered. */
+/** Open-loop load: requests are sent whether or not earlier ones are answered. */
 export interface OpenLoadOptions {
   readonly url: string;
+  /** Mean requests per second. */
   readonly perSecond: number;
   readonly durationMs: number;
   readonly createOptions?: () => RequestShape;
 }
 
 /**
- * Sends requests at Poisson arrivals, the same ones in every run. Each is
- * timed from when it was sent: this process's own lateness is left out.
+ * Sends requests at Poisson arrivals, which are the same in every run. Latency
+ * counts from the actual send, so delays of this process are excluded.
  */
 export async function runOpenLoad(
   options: OpenLoadOptions,
@@ -91,7 +94,7 @@
       ...options.createOptions?.(),
     });
     await answer.body.dump();
-    const micros = (performance.now() - startedAt) * MICROS;
+    const micros = (performance.now() - startedAt) * MICROS_PER_MS;
     histogram.recordValue(Math.max(1, Math.round(micros)));
     failed += answer.statusCode === 200 ? 0 : 1;
   };
@@ -107,8 +110,8 @@
   await Promise.all(sent);
   await agent.close();
   return {
-    p50Ms: histogram.getValueAtPercentile(50) / MICROS,
-    p99Ms: histogram.getValueAtPercentile(99) / MICROS,
+    p50Ms: histogram.getValueAtPercentile(50) / MICROS_PER_MS,
+    p99Ms: histogram.getValueAtPercentile(99) / MICROS_PER_MS,
     failed,
     requests: arrivals.length,
   };
--- a/bench/report.ts
+++ b/bench/report.ts
@@ -1,33 +1,43 @@
-/** How benches print: medians in columns, and JSON to a file. */
+/** Options and output of benchmarks: printed lines, and figures as JSON. */
 import { writeFileSync } from "node:fs";
 import process from "node:process";
 import { Command } from "commander";
 
-/** Options that all benches share. */
+/** Options that all benchmarks accept; some ignore a part of them. */
 export interface BenchOptions {
+  /** File for the figures as JSON. */
   readonly json: string | undefined;
+  /** Number of runs that medians are taken over. */
   readonly runs: number;
-  /** Whether a shorter run is wanted. */
+  /** Whether to do a shorter run, if the benchmark has one. */
   readonly isQuick: boolean;
+  /** File for a chart of the figures, if the benchmark draws one. */
   readonly svg: string | undefined;
-  /** Whether the processes use TLS among them, where the bench can. */
+  /** Whether processes connect over TLS, if the benchmark supports it. */
   readonly isTls: boolean;
-  /** Names that narrow a run, such as modes and scenarios; empty for all. */
+  /** Names of modes or scenarios to run; empty runs all. */
   readonly only: readonly string[];
-  /** Folder for processor profiles of the nodes, where there are any. */
+  /** Folder for CPU profiles of the nodes, if the benchmark supports it. */
   readonly profile: string | undefined;
 }
 
-/** Reads the options of a bench. */
+/** Reads the options of a benchmark from the command line. */
 export function readBenchOptions(name: string, runs: number): BenchOptions {
   const options = new Command(name)
     .option("--json <file>", "write the figures to a file")
     .option("--runs <count>", "runs that medians are taken over", String(runs))
-    .option("--svg <file>", "draw the figures to a file, where it can")
-    .option("--tls", "TLS among the processes, where the bench can")
-    .option("--only <names>", "narrow the run, comma-separated", "")
-    .option("--profile <folder>", "profile the nodes, where it can")
-    .option("--quick", "a shorter run, where there is one")
+    .option("--svg <file>", "draw a chart to an SVG file, if supported")
+    .option("--tls", "use TLS between processes, if supported")
+    .option(
+      "--only <names>",
+      "names of modes or scenarios to run, comma-separated",
+      "",
+    )
+    .option(
+      "--profile <folder>",
+      "write CPU profiles of the nodes, if supported",
+    )
+    .option("--quick", "do a shorter run, if supported")
     .parse().opts<
     {
       json?: string;
@@ -50,7 +60,7 @@
   };
 }
 
-/** Computes the median; the lower one of two. */
+/** Computes the median; the lower middle value of an even count. */
 export function computeMedian(values: readonly number[]): number {
   const sorted = values.toSorted((a, b) => a - b);
   return sorted[Math.floor((sorted.length - 1) / 2)] ?? NaN;
@@ -61,7 +71,7 @@
   process.stdout.write(`${line}\n`);
 }
 
-/** Writes the figures where `--json` was given. */
+/** Writes the figures to the file given with `--json`, if any. */
 export function writeFigures(options: BenchOptions, figures: unknown): void {
   if (options.json !== undefined) {
     writeFileSync(options.json, `${JSON.stringify(figures, null, 2)}\n`);
