--- a/bench/arrivals.ts
+++ b/bench/arrivals.ts
@@ -1,15 +1,16 @@
-/** Seeded random numbers and the Poisson arrivals of an open-loop load. */
+/** Seeded random numbers, and Poisson arrivals for open-loop load. */
 
 /** Returns numbers from 0 (inclusive) to 1 (exclusive). */
 export type Random = () => number;
 
-/** A stretch of load at one rate. */
+/** An interval of load at a constant mean rate. */
 export interface LoadPhase {
   readonly durationMs: number;
+  /** Mean arrivals per second. */
   readonly perSecond: number;
 }
 
-/** Creates a generator that replays by its seed (mulberry32). */
+/** Creates a generator whose sequence depends on the seed alone (mulberry32). */
 export function createRandom(seed: number): Random {
   let state = seed >>> 0;
   return () => {
@@ -20,7 +21,7 @@
   };
 }
 
-/** Plans arrival times in milliseconds from the start of the first phase. */
+/** Draws arrival times, in milliseconds from the start of the first phase. */
 export function planArrivals(
   phases: readonly LoadPhase[],
   random: Random,
@@ -40,16 +41,16 @@
   return arrivals;
 }
 
-/** Picks an index with a chance in proportion to its weight. */
+/** Picks an index with a probability proportional to its weight. */
 export function pickWeighted(
   weights: readonly number[],
   random: Random,
 ): number {
   const total = weights.reduce((sum, weight) => sum + weight, 0);
-  let left = random() * total;
+  let remaining = random() * total;
   const index = weights.findIndex((weight) => {
-    left -= weight;
-    return left < 0;
+    remaining -= weight;
+    return remaining < 0;
   });
   return index < 0 ? weights.length - 1 : index;
 }
--- a/bench/cpu.ts
+++ b/bench/cpu.ts
@@ -1,29 +1,29 @@
-/** Processor time of processes and of the machine, from Linux's /proc. */
+/** Processor time and I/O of processes, and processor time of the machine. */
 import { readFileSync } from "node:fs";
 import { availableParallelism, cpus } from "node:os";
 
-/** Kernel ticks a second in /proc (USER_HZ). */
+/** Clock ticks per second in /proc on Linux (USER_HZ). */
 const TICKS_PER_SECOND = 100;
-const MS = 1_000;
+const MS_PER_SECOND = 1_000;
 
 /** Reads the processor time that a process has used, in milliseconds. */
 export function readProcessCpuMs(pid: number): number {
   const stat = readFileSync(`/proc/${pid}/stat`, "utf8");
-  // The command in brackets may hold blanks; user and system time are the
+  // The command in parentheses may contain spaces; user and system time are the
   // 12th and 13th fields after it (proc(5)).
   const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
   const ticks = Number(fields[11]) + Number(fields[12]);
-  return ticks / TICKS_PER_SECOND * MS;
+  return ticks / TICKS_PER_SECOND * MS_PER_SECOND;
 }
 
-/** What a process has read and written so far, sockets among it. */
+/** Totals that a process has read and written, including sockets. */
 export interface ProcessIo {
-  /** System calls that read or wrote. */
+  /** Number of read and write system calls. */
   readonly calls: number;
   readonly bytes: number;
 }
 
-/** Reads the counters of a process (proc(5), `io`). */
+/** Reads the I/O counters of a process from /proc/PID/io (proc(5)). */
 export function readProcessIo(pid: number): ProcessIo {
   const text = readFileSync(`/proc/${pid}/io`, "utf8");
   const fields = new Map(
@@ -39,13 +39,13 @@
   };
 }
 
-/** Busy and whole time of all cores so far. */
+/** Busy and total time of all cores since boot. */
 export interface MachineCpu {
   readonly busyMs: number;
   readonly totalMs: number;
 }
 
-/** Reads the machine's processor time. */
+/** Reads the processor time of all cores of the machine. */
 export function readMachineCpu(): MachineCpu {
   let busyMs = 0;
   let totalMs = 0;
@@ -57,13 +57,13 @@
   return { busyMs, totalMs };
 }
 
-/** Computes the busy share of all cores between two readings, 0 to 1. */
+/** Computes the busy share of all cores between two readings, from 0 to 1. */
 export function computeBusyShare(from: MachineCpu, to: MachineCpu): number {
   const totalMs = to.totalMs - from.totalMs;
   return totalMs === 0 ? 0 : (to.busyMs - from.busyMs) / totalMs;
 }
 
-/** How many cores the benches may use. */
+/** Counts the cores that this process may use. */
 export function countCores(): number {
   return availableParallelism();
 }
--- a/bench/process_probe.ts
+++ b/bench/process_probe.ts
@@ -1,13 +1,14 @@
-/** Processor time and memory of other processes, from /proc. */
+/** Reads processor time and memory of other processes from /proc. */
 import { readFileSync } from "node:fs";
 
-/** The kernel's clock ticks a second that /proc counts in. */
+/** Clock ticks per second in /proc (USER_HZ). */
 const TICKS_PER_SECOND = 100;
 const MS_PER_SECOND = 1_000;
+/** Index of the user time among the fields after the command (proc(5)). */
 const USER_TICKS_FIELD = 11;
-const KIB = 1_024;
+const KIB_PER_MIB = 1_024;
 
-/** Reads the processor time of a process, in milliseconds (steps of 10). */
+/** Reads the processor time of a process, in ms, with a resolution of 10 ms. */
 export function readCpuMs(pid: number): number {
   const stat = readFileSync(`/proc/${pid}/stat`, "utf8");
   const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
@@ -20,5 +21,5 @@
 export function readResidentMib(pid: number): number {
   const status = readFileSync(`/proc/${pid}/status`, "utf8");
   const kib = Number(/VmRSS:\s+(\d+)/.exec(status)?.[1]);
-  return kib / KIB;
+  return kib / KIB_PER_MIB;
 }
--- a/bench/workspaces.ts
+++ b/bench/workspaces.ts
@@ -1,6 +1,6 @@
 /**
- * What keys of workspaces cost: bytes and time of a push to one node, and time
- * of a look-up. Run by hand; docs/CAPACITY.md takes its slopes from it.
+ * Measures the cost of workspace keys: size and time of a routes update to one
+ * node, and the time to look up a key.
  */
 import process from "node:process";
 import { performance } from "node:perf_hooks";
@@ -14,17 +14,17 @@
 import { computeKeyDigest } from "../src/engine/workspaces/node/key_digest.ts";
 
 const KEY_COUNTS = [170, 1_000, 10_000, 100_000];
-const KEYS_A_WORKSPACE = 2;
+const KEYS_PER_WORKSPACE = 2;
 const LOOKUPS = 100_000;
 
 function createTable(keys: number): RouteTable {
   const workspaces = Array.from(
-    { length: keys / KEYS_A_WORKSPACE },
-    (_, at) => ({
-      name: `workspace-${at}`,
+    { length: keys / KEYS_PER_WORKSPACE },
+    (_, index) => ({
+      name: `workspace-${index}`,
       keyDigests: Array.from(
-        { length: KEYS_A_WORKSPACE },
-        (_, n) => computeKeyDigest(createKey(at * KEYS_A_WORKSPACE + n)),
+        { length: KEYS_PER_WORKSPACE },
+        (_, n) => computeKeyDigest(createKey(index * KEYS_PER_WORKSPACE + n)),
       ),
       rank: 1,
       ratePerSecond: 20,
@@ -34,11 +34,11 @@
   return { version: 1, routes: [], limits: DEFAULT_LIMITS, workspaces };
 }
 
-function createKey(at: number): string {
-  return `key-${at}-of-a-usual-length`;
+function createKey(index: number): string {
+  return `key-${index}-of-a-usual-length`;
 }
 
-/** Returns the milliseconds that a step took, and what it returned. */
+/** Runs a step; returns its duration in milliseconds and its result. */
 function measure<T>(step: () => T): { readonly ms: number; readonly value: T } {
   const startMs = performance.now();
   const value = step();
@@ -53,8 +53,8 @@
   const index = measure(() => buildKeyIndex(table.workspaces!));
   const lookups = measure(() => {
     let found = 0;
-    for (let at = 0; at < LOOKUPS; at += 1) {
-      found += index.value.has(computeKeyDigest(createKey(at % keys))) ? 1 : 0;
+    for (let n = 0; n < LOOKUPS; n += 1) {
+      found += index.value.has(computeKeyDigest(createKey(n % keys))) ? 1 : 0;
     }
     return found;
   });
