--- a/bench/load_process.ts
+++ b/bench/load_process.ts
@@ -1,6 +1,6 @@
 /**
- * One process of open-loop load: sends root requests at planned times, never
- * waiting for earlier ones, and prints what became of them as JSON.
+ * One process of open-loop load. Sends root requests at planned times, without
+ * waiting for earlier ones, and prints their outcomes as JSON.
  */
 import { performance } from "node:perf_hooks";
 import process from "node:process";
@@ -16,24 +16,26 @@
   readonly workload: string;
   readonly phases: readonly LoadPhase[];
   readonly seed: number;
-  /** Where a kind of request may be sent. */
+  /** Addresses that accept root requests, by kind of request. */
   readonly entries: Readonly<Record<string, readonly string[]>>;
-  /** How often a caller sends a request again, at once. */
+  /** Most times that a caller resends a request, without delay. */
   readonly resends: number;
-  /** Wall clock in milliseconds at which the first phase starts. */
+  /** Epoch milliseconds at which the first phase starts. */
   readonly startAtMs: number;
 }
 
 type SendResult = Pick<RootOutcome, "result" | "refusedBy">;
 
 const REFUSED_STATUSES: readonly number[] = [429, 503];
-const SPIN_MS = 1;
+/** Waits up to this long are skipped; the request is sent early. */
+const MIN_WAIT_MS = 1;
 
 const plan = JSON.parse(process.argv[2]!) as LoadPlan;
 const workload = WORKLOADS.find(({ name }) => name === plan.workload)!;
 const random = createRandom(plan.seed);
 const agent = new Agent({ connections: 4_096, pipelining: 1 });
 const outcomes: RootOutcome[] = [];
+/** Start of the first phase, on the clock of `performance.now`. */
 const originMs = plan.startAtMs - Date.now() + performance.now();
 
 function pickEntry(kind: WorkloadKind, draw: Random): string {
@@ -59,19 +61,22 @@
     });
     const text = await answer.body.text();
     if (answer.statusCode === 200) {
-      const isGood = isWhole(text, kind, path, key);
-      return { result: isGood ? "whole" : "failed" };
+      const isComplete = isCompleteAnswer(text, kind, path, key);
+      return { result: isComplete ? "whole" : "failed" };
     }
     return REFUSED_STATUSES.includes(answer.statusCode)
       ? { result: "refused", refusedBy: findRefuser(kind, text) }
       : { result: "failed" };
   } catch (error) {
-    const isLate = (error as Error).name === "TimeoutError";
-    return { result: isLate ? "late" : "failed" };
+    const isTimeout = (error as Error).name === "TimeoutError";
+    return { result: isTimeout ? "late" : "failed" };
   }
 }
 
-/** A backend server names the statuses of its own calls; a node doesn't. */
+/**
+ * Finds the service that refused a request. An answer from a backend server
+ * lists the statuses of its own calls; an answer from a node has no such list.
+ */
 function findRefuser(kind: WorkloadKind, text: string): string {
   const refused = /"downstream":(\[[\d,]*\])/.exec(text)?.[1] ?? "[]";
   const statuses = JSON.parse(refused) as readonly number[];
@@ -81,8 +86,8 @@
     : findKind(workload, kind.calls[index]!).service;
 }
 
-/** Whether the body is the whole answer to this very request. */
-function isWhole(
+/** Checks that the body is the complete answer to this request. */
+function isCompleteAnswer(
   text: string,
   kind: WorkloadKind,
   path: string,
@@ -107,22 +112,22 @@
   const kind = workload.kinds[pickWeighted(shares, random)]!;
   const id = `${plan.seed}-${index}`;
   const path = kind.path.endsWith("/") ? `${kind.path}${id}` : kind.path;
-  let last: SendResult = { result: "late" };
+  let lastResult: SendResult = { result: "late" };
   let sends = 0;
-  while (sends <= plan.resends && last.result !== "whole") {
-    const leftMs = kind.timeoutMs - (performance.now() - originMs) +
+  while (sends <= plan.resends && lastResult.result !== "whole") {
+    const remainingMs = kind.timeoutMs - (performance.now() - originMs) +
       startedAtMs;
-    if (leftMs <= 0) {
+    if (remainingMs <= 0) {
       break;
     }
     sends += 1;
-    last = await sendOnce(kind, path, id, leftMs);
+    lastResult = await sendOnce(kind, path, id, remainingMs);
   }
   outcomes.push({
     kind: kind.kind,
     arrivedAtMs,
     endedAtMs: performance.now() - originMs,
-    ...last,
+    ...lastResult,
     sends,
     lagMs: startedAtMs - arrivedAtMs,
   });
@@ -133,7 +138,7 @@
   const pending: Promise<void>[] = [];
   for (const [index, atMs] of arrivals.entries()) {
     const waitMs = atMs - (performance.now() - originMs);
-    if (waitMs > SPIN_MS) {
+    if (waitMs > MIN_WAIT_MS) {
       await new Promise((resolve) => setTimeout(resolve, waitMs));
     }
     pending.push(sendRoot(atMs, index));
--- a/bench/outcomes.ts
+++ b/bench/outcomes.ts
@@ -1,30 +1,34 @@
-/** What became of root requests, and the figures that are drawn from it. */
+/** Outcomes of root requests, and figures computed from them. */
 
-/** What became of a root request, as its caller saw it. */
+/**
+ * Outcome of a root request for its caller: `whole` is a complete answer, and
+ * `late` no answer before the timeout.
+ */
 export type RootResult = "whole" | "refused" | "late" | "failed";
 
-/** One root request. */
+/** The outcome of one root request. */
 export interface RootOutcome {
   readonly kind: string;
-  /** From the start of the load, in milliseconds. */
+  /** Planned arrival, in milliseconds from the start of the load. */
   readonly arrivedAtMs: number;
+  /** When the last send ended, in milliseconds from the start of the load. */
   readonly endedAtMs: number;
   readonly result: RootResult;
-  /** Service that refused it, its own or one below. */
+  /** Service that refused it: its own or a downstream one. */
   readonly refusedBy?: string;
-  /** Times that the caller sent it. */
+  /** Number of times that the caller sent it. */
   readonly sends: number;
-  /** How much later than planned it was sent. */
+  /** Delay of the first send after the planned arrival, in milliseconds. */
   readonly lagMs: number;
 }
 
-/** A stretch of time, end excluded. */
+/** A time interval; the end is exclusive. */
 export interface Span {
   readonly fromMs: number;
   readonly toMs: number;
 }
 
-/** The importance and the service of a kind. */
+/** Importance and service of a kind of request. */
 export interface KindRank {
   readonly kind: string;
   readonly isImportant: boolean;
@@ -32,11 +36,11 @@
 }
 
 const BUCKET_MS = 100;
-/** Buckets over which a recovery must hold. */
+/** Number of buckets over which a recovery must hold. */
 const HOLD_BUCKETS = 10;
 const RECOVERED_SHARE = 0.99;
 
-/** Computes the value below which `share` of the values lie (nearest rank). */
+/** Computes a percentile by nearest rank; `share` is from 0 to 1. */
 export function computePercentile(
   values: readonly number[],
   share: number,
@@ -45,47 +49,50 @@
   return sorted[Math.max(0, Math.ceil(share * sorted.length) - 1)] ?? NaN;
 }
 
-/** Computes whole answers a second that ended in `span`. */
+/** Computes complete answers per second that ended in `span`. */
 export function computeGoodput(
   outcomes: readonly RootOutcome[],
   span: Span,
 ): number {
   const whole = outcomes.filter(({ result, endedAtMs }) =>
-    result === "whole" && isIn(endedAtMs, span)
+    result === "whole" && isWithin(endedAtMs, span)
   );
   return whole.length * 1_000 / (span.toMs - span.fromMs);
 }
 
-/** Computes the share of the root requests arriving in `span` with `result`. */
+/** Computes the share of root requests arriving in `span` that had `result`. */
 export function computeShare(
   outcomes: readonly RootOutcome[],
   result: RootResult,
   span: Span,
 ): number {
-  const arrived = outcomes.filter(({ arrivedAtMs }) => isIn(arrivedAtMs, span));
+  const arrived = outcomes.filter(({ arrivedAtMs }) =>
+    isWithin(arrivedAtMs, span)
+  );
   const matching = arrived.filter((outcome) => outcome.result === result);
   return arrived.length === 0 ? 0 : matching.length / arrived.length;
 }
 
 /**
- * Computes the time after `surge` until 99% of the share of whole answers
- * before it is back, in buckets of 100 ms by arrival; it must hold for one
- * second. Undefined where it doesn't come back before `endMs`.
+ * Computes the time from the start of `after` until the share of complete
+ * answers reaches 99% of that in `before` and holds for one second, in steps of
+ * 100 ms by arrival. Undefined if it does not recover within `after`.
  */
 export function computeRecoveryMs(
   outcomes: readonly RootOutcome[],
   before: Span,
   after: Span,
 ): number | undefined {
-  const wanted = RECOVERED_SHARE * computeShare(outcomes, "whole", before);
+  const requiredShare = RECOVERED_SHARE *
+    computeShare(outcomes, "whole", before);
   const holdMs = HOLD_BUCKETS * BUCKET_MS;
   for (
     let fromMs = after.fromMs;
     fromMs + holdMs <= after.toMs;
     fromMs += BUCKET_MS
   ) {
-    const hold = { fromMs, toMs: fromMs + holdMs };
-    if (computeShare(outcomes, "whole", hold) >= wanted) {
+    const window = { fromMs, toMs: fromMs + holdMs };
+    if (computeShare(outcomes, "whole", window) >= requiredShare) {
       return fromMs - after.fromMs;
     }
   }
@@ -93,25 +100,25 @@
 }
 
 /**
- * Counts important root requests that a service refused in a bucket of 100 ms
- * in which it served an unimportant one whole.
+ * Counts priority inversions: important root requests that a service refused in
+ * an interval of 100 ms in which it completed an unimportant one.
  */
 export function countInversions(
   outcomes: readonly RootOutcome[],
   ranks: readonly KindRank[],
 ): number {
   const byKind = new Map(ranks.map((rank) => [rank.kind, rank]));
-  const servedIn = new Set<string>();
+  const bucketsWithUnimportant = new Set<string>();
   for (const { kind, result, endedAtMs } of outcomes) {
     const { isImportant, service } = byKind.get(kind)!;
     if (result === "whole" && !isImportant) {
-      servedIn.add(formatBucket(service, endedAtMs));
+      bucketsWithUnimportant.add(formatBucket(service, endedAtMs));
     }
   }
   return outcomes.filter(({ kind, result, refusedBy, endedAtMs }) => {
     const { isImportant, service } = byKind.get(kind)!;
     return isImportant && result === "refused" &&
-      servedIn.has(formatBucket(refusedBy ?? service, endedAtMs));
+      bucketsWithUnimportant.has(formatBucket(refusedBy ?? service, endedAtMs));
   }).length;
 }
 
@@ -119,6 +126,6 @@
   return `${service} ${Math.floor(atMs / BUCKET_MS)}`;
 }
 
-function isIn(atMs: number, span: Span): boolean {
+function isWithin(atMs: number, span: Span): boolean {
   return atMs >= span.fromMs && atMs < span.toMs;
 }
--- a/bench/overload.ts
+++ b/bench/overload.ts
@@ -1,6 +1,6 @@
 /**
- * Goodput, refusals and recovery under overload: no control, a plain limit
- * with plain retries, and basilpin, side by side in one run.
+ * Compares goodput, refusals and recovery under overload in three modes: no
+ * control, a fixed concurrency limit with simple retries, and basilpin.
  */
 import { writeFileSync } from "node:fs";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -20,12 +20,14 @@
 import { computeCapacity, computeRunsPerRoot, WORKLOADS } from "./workload.ts";
 import type { Workload } from "./workload.ts";
 
-interface Measured extends ScenarioFigures {
+/** Figures of one scenario, in one mode, of one workload. */
+interface ScenarioResult extends ScenarioFigures {
   readonly workload: string;
   readonly mode: Mode;
   readonly scenario: string;
 }
 
+/** Loads of the surge, as multiples of the capacity. */
 const MULTIPLES = [0.8, 1, 1.5, 2, 4, 8];
 const QUICK_MULTIPLES = [1, 4];
 const TIMES: ScenarioTimes = {
@@ -39,35 +41,39 @@
   afterMs: 4_000,
 };
 const HARD_RESENDS = 4;
-const SURGE = 4;
+/** Load of the surge in the scenario of resends, as a multiple. */
+const RESEND_LOAD = 4;
 const STRAGGLER_LOAD = 0.8;
-/** Cold starts are over by then: not a matter of this bench. */
+/** Excludes cold starts, which this benchmark does not measure. */
 const WARM_UP_MS = 10_000;
-/** Lets a deployment come to rest between scenarios. */
-const REST_MS = 1_500;
-/** Above it, the machine and not the slots may be what limits. */
-const BUSY_SHARE = 0.85;
+/** Time between scenarios for queues and running requests to drain. */
+const DRAIN_MS = 1_500;
+/** Above this share, processor time instead of slots may limit goodput. */
+const MAX_CPU_SHARE = 0.85;
 
 const options = readBenchOptions("bench:overload", 1);
 const times = options.isQuick ? QUICK_TIMES : TIMES;
 const workloads = options.isQuick ? WORKLOADS.slice(0, 1) : WORKLOADS;
 
-/** The last service of the deepest call graph becomes the straggler. */
-function findDeepService(workload: Workload): string {
+/** Finds the first downstream service of a kind with calls, as straggler. */
+function findStraggler(workload: Workload): string {
   const deepest = workload.kinds.find(({ calls }) => calls.length > 0)!;
   return workload.kinds.find(({ kind }) => kind === deepest.calls[0])!.service;
 }
 
-/** Whether `--only` leaves in one of `names`, all names of one dimension. */
-function isWanted(name: string, names: readonly string[]): boolean {
-  const named = options.only.filter((one) => names.includes(one));
-  return named.length === 0 || named.includes(name);
+/**
+ * Whether `--only` selects `name`. It selects all if it has none of `names`,
+ * which are the names of one dimension: the modes or the scenarios.
+ */
+function isSelected(name: string, names: readonly string[]): boolean {
+  const selected = options.only.filter((one) => names.includes(one));
+  return selected.length === 0 || selected.includes(name);
 }
 
 function listScenarios(workload: Workload): readonly Scenario[] {
   const scenarios = createScenarios(workload);
   const names = scenarios.map(({ name }) => name);
-  return scenarios.filter(({ name }) => isWanted(name, names));
+  return scenarios.filter(({ name }) => isSelected(name, names));
 }
 
 function createScenarios(workload: Workload): readonly Scenario[] {
@@ -78,12 +84,12 @@
       multiple,
       resends: 0,
     })),
-    { name: "resends", multiple: SURGE, resends: HARD_RESENDS },
+    { name: "resends", multiple: RESEND_LOAD, resends: HARD_RESENDS },
     {
       name: "straggler",
       multiple: STRAGGLER_LOAD,
       resends: 0,
-      straggler: findDeepService(workload),
+      straggler: findStraggler(workload),
     },
   ];
 }
@@ -92,11 +98,11 @@
   workload: Workload,
   mode: Mode,
   run: number,
-): Promise<readonly Measured[]> {
+): Promise<readonly ScenarioResult[]> {
   await using fleet = new Fleet();
   const deployment = await startDeployment(fleet, workload, mode);
   await sleep(WARM_UP_MS);
-  const measured: Measured[] = [];
+  const measured: ScenarioResult[] = [];
   for (const scenario of listScenarios(workload)) {
     const figures = await runScenario(workload, deployment, scenario, {
       times,
@@ -107,12 +113,12 @@
     if (options.only.includes("refusals")) {
       await writeRefusals(deployment);
     }
-    await sleep(REST_MS);
+    await sleep(DRAIN_MS);
   }
   return measured;
 }
 
-/** Prints which nodes refused what and why, since they started. */
+/** Prints the refusal counters of all nodes, since their start. */
 async function writeRefusals(deployment: Deployment): Promise<void> {
   for (const [nodeId, address] of Object.entries(deployment.operators)) {
     for (const line of await readRefusals(address)) {
@@ -121,8 +127,8 @@
   }
 }
 
-/** Takes the median of each figure; a recovery that never came is the worst. */
-function mergeRuns(runs: readonly Measured[]): Measured {
+/** Takes the median of each figure; no recovery counts as infinitely long. */
+function mergeRuns(runs: readonly ScenarioResult[]): ScenarioResult {
   const first = runs[0]!;
   const take = (read: (figures: ScenarioFigures) => number) =>
     computeMedian(runs.map(read));
@@ -147,7 +153,7 @@
   return `${(share * 100).toFixed(1)}%`;
 }
 
-function formatMeasured(measured: Measured, peak: number): string {
+function formatMeasured(measured: ScenarioResult, peak: number): string {
   return [
     measured.mode.padEnd(8),
     measured.scenario.padEnd(9),
@@ -169,12 +175,18 @@
   ].join(" ");
 }
 
-function findPeak(figures: readonly Measured[], workload: Workload): number {
+function findPeak(
+  figures: readonly ScenarioResult[],
+  workload: Workload,
+): number {
   const ofWorkload = figures.filter((one) => one.workload === workload.name);
   return Math.max(...ofWorkload.map(({ goodput }) => goodput));
 }
 
-function printWorkload(figures: readonly Measured[], workload: Workload): void {
+function printWorkload(
+  figures: readonly ScenarioResult[],
+  workload: Workload,
+): void {
   const capacity = computeCapacity(workload).toFixed(0);
   const runsPerRoot = computeRunsPerRoot(workload).toFixed(2);
   writeReport(
@@ -197,7 +209,7 @@
   }
 }
 
-function drawFigures(figures: readonly Measured[]): string {
+function drawFigures(figures: readonly ScenarioResult[]): string {
   const panels = workloads.map((workload) => {
     const labels = listScenarios(workload).map(({ name }) => name);
     return {
@@ -217,11 +229,11 @@
   return formatPlot(panels);
 }
 
-const runs: Measured[][] = [];
+const runs: ScenarioResult[][] = [];
 for (let run = 0; run < options.runs; run++) {
-  const measured: Measured[] = [];
+  const measured: ScenarioResult[] = [];
   for (const workload of workloads) {
-    for (const mode of MODES.filter((one) => isWanted(one, MODES))) {
+    for (const mode of MODES.filter((one) => isSelected(one, MODES))) {
       measured.push(...await measureMode(workload, mode, run));
     }
   }
@@ -232,7 +244,7 @@
 );
 writeReport(`medians of ${options.runs} runs, ${countCores()} cores`);
 workloads.forEach((workload) => printWorkload(figures, workload));
-if (figures.some(({ cpuShare }) => cpuShare > BUSY_SHARE)) {
+if (figures.some(({ cpuShare }) => cpuShare > MAX_CPU_SHARE)) {
   writeReport("\nThe machine was short of processor time: figures are weak");
 }
 writeFigures(options, { runs: options.runs, times, figures });
--- a/bench/overload_fleet.ts
+++ b/bench/overload_fleet.ts
@@ -1,4 +1,4 @@
-/** Starts one deployment in each of the three modes that are compared. */
+/** Starts a deployment in one of the three compared modes. */
 import { request } from "undici";
 import type { Fleet, FleetControl } from "../standin/fleet.ts";
 import { findAddress } from "../standin/ports.ts";
@@ -10,19 +10,22 @@
 } from "./workload.ts";
 import type { Workload } from "./workload.ts";
 
-/** No control, a plain limit with plain retries, and the product. */
+/**
+ * `none` calls backend servers directly; `plain` uses proxies with a fixed limit
+ * and simple retries; `basilpin` uses nodes.
+ */
 export type Mode = "none" | "plain" | "basilpin";
 
 /** The modes in the order of the report. */
 export const MODES: readonly Mode[] = ["none", "plain", "basilpin"];
 
-/** A deployment that runs. */
+/** Addresses of a running deployment. */
 export interface Deployment {
-  /** Addresses that callers may send a kind to. */
+  /** Addresses that accept root requests, by kind of request. */
   readonly entries: Readonly<Record<string, readonly string[]>>;
   /** Addresses of the backend servers, by service. */
   readonly backends: Readonly<Record<string, readonly string[]>>;
-  /** Operators' addresses of the nodes, by node id. */
+  /** Operator addresses of the nodes, by node id; empty without nodes. */
   readonly operators: Readonly<Record<string, string>>;
 }
 
@@ -30,10 +33,11 @@
 type Addresses = Readonly<Record<string, readonly string[]>>;
 
 const DATA_CENTRES = ["dc-a", "dc-b"];
+/** Most requests that a proxy queues. */
 const PROXY_QUEUE = 100;
 const PROXY_RETRIES = 3;
 
-/** Starts a deployment in `mode`. */
+/** Starts all processes of a deployment in `mode`. */
 export async function startDeployment(
   fleet: Fleet,
   workload: Workload,
@@ -41,15 +45,15 @@
 ): Promise<Deployment> {
   switch (mode) {
     case "none":
-      return await startBare(fleet, workload);
+      return await startWithoutControl(fleet, workload);
     case "plain":
-      return await startProxied(fleet, workload);
+      return await startWithProxies(fleet, workload);
     case "basilpin":
-      return await startNodes(fleet, workload);
+      return await startWithNodes(fleet, workload);
   }
 }
 
-/** Lists the refusals of a node by kind, importance and reason. */
+/** Reads the refusal counters of a node, as lines of its metrics. */
 export async function readRefusals(
   operator: string,
 ): Promise<readonly string[]> {
@@ -58,7 +62,7 @@
   return lines.filter((line) => line.startsWith("basilpin_refusals"));
 }
 
-async function startBare(
+async function startWithoutControl(
   fleet: Fleet,
   workload: Workload,
 ): Promise<Deployment> {
@@ -71,7 +75,7 @@
   return { backends, operators: {}, entries: mapKinds(workload, backends) };
 }
 
-async function startProxied(
+async function startWithProxies(
   fleet: Fleet,
   workload: Workload,
 ): Promise<Deployment> {
@@ -103,10 +107,14 @@
       ]);
     }
   }
-  return { backends, operators: {}, entries: mapToAll(workload, listeners) };
+  return {
+    backends,
+    operators: {},
+    entries: mapKindsToAll(workload, listeners),
+  };
 }
 
-async function startNodes(
+async function startWithNodes(
   fleet: Fleet,
   workload: Workload,
 ): Promise<Deployment> {
@@ -133,14 +141,14 @@
   if (applied.exitCode !== 0) {
     throw new Error(`${control.id} refused the table: ${applied.stderr}`);
   }
-  return { backends, operators, entries: mapToAll(workload, edges) };
+  return { backends, operators, entries: mapKindsToAll(workload, edges) };
 }
 
 async function startBackends(
   fleet: Fleet,
   workload: Workload,
   backends: Addresses,
-  wire: (
+  createConnections: (
     service: string,
     index: number,
   ) => { readonly egress: string; readonly direct?: Addresses },
@@ -153,12 +161,13 @@
         slots: countSlots(workload, service),
         behaviour: { serviceMs: workload.serviceMs[service]! },
         downstream: createDownstream(workload),
-        ...wire(service, index),
+        ...createConnections(service, index),
       });
     }
   }
 }
 
+/** Finds a free address for each backend server of each service. */
 async function findAddresses(workload: Workload): Promise<Addresses> {
   const addresses: Record<string, string[]> = {};
   for (const service of listServices(workload)) {
@@ -170,6 +179,7 @@
   return addresses;
 }
 
+/** Creates the calls that backend servers make, by method and path. */
 function createDownstream(workload: Workload): Downstream {
   return Object.fromEntries(
     workload.kinds.filter(({ calls }) => calls.length > 0).map((kind) => [
@@ -179,19 +189,20 @@
   );
 }
 
-/** Callers know the service's own addresses. */
+/** Maps each kind to the addresses of its service. */
 function mapKinds(workload: Workload, addresses: Addresses): Addresses {
   return Object.fromEntries(
     workload.kinds.map(({ kind, service }) => [kind, addresses[service]!]),
   );
 }
 
-/** Callers send every kind to any of the addresses. */
-function mapToAll(workload: Workload, addresses: Addresses): Addresses {
+/** Maps each kind to the addresses of all services. */
+function mapKindsToAll(workload: Workload, addresses: Addresses): Addresses {
   const all = Object.values(addresses).flat();
   return Object.fromEntries(workload.kinds.map(({ kind }) => [kind, all]));
 }
 
+/** Maps the path of each kind to the addresses of its service. */
 function mapPaths(workload: Workload, addresses: Addresses): Addresses {
   return Object.fromEntries(
     workload.kinds.map(({ path, service }) => [path, addresses[service]!]),
--- a/bench/scenario.ts
+++ b/bench/scenario.ts
@@ -1,4 +1,4 @@
-/** Runs one surge against a deployment and draws its figures. */
+/** Runs one scenario against a deployment and computes its figures. */
 import { spawn } from "node:child_process";
 import process from "node:process";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -15,58 +15,65 @@
 } from "./outcomes.ts";
 import type { RootOutcome } from "./outcomes.ts";
 import type { Deployment } from "./overload_fleet.ts";
-import { computeCapacity, computeIdealGoodput, IMPORTANT } from "./workload.ts";
+import {
+  computeCapacity,
+  computeIdealGoodput,
+  MIN_IMPORTANT,
+} from "./workload.ts";
 import type { Workload } from "./workload.ts";
 
-/** One surge. */
+/** A load with a surge, and optionally with a straggler during the surge. */
 export interface Scenario {
   readonly name: string;
   /** Load in the surge, as a multiple of the capacity. */
   readonly multiple: number;
-  /** How often callers send a request again, at once. */
+  /** Most times that callers resend a request, without delay. */
   readonly resends: number;
-  /** Service of which one backend server becomes ten times slower. */
+  /** Service of which one backend server is ten times slower in the surge. */
   readonly straggler?: string;
 }
 
-/** How long the parts of a scenario take, in milliseconds. */
+/** Durations of the phases of a scenario, in milliseconds. */
 export interface ScenarioTimes {
   readonly beforeMs: number;
   readonly surgeMs: number;
   readonly afterMs: number;
 }
 
-/** What came of a scenario. */
+/** Figures of a scenario. */
 export interface ScenarioFigures {
-  /** Whole answers a second in the surge. */
+  /** Complete answers per second in the surge. */
   readonly goodput: number;
-  /** The most that the slots allow at this load, important kinds first. */
+  /** Highest goodput that the slots allow at this load, important kinds first. */
   readonly idealGoodput: number;
-  /** Shares of the root requests that arrived in the surge. */
+  /** Shares of root requests that arrived in the surge, from 0 to 1. */
   readonly refusedImportant: number;
   readonly refusedUnimportant: number;
   readonly lostImportant: number;
   readonly lostUnimportant: number;
-  /** Important ones refused while an unimportant one was served. */
+  /** Important requests refused while an unimportant one was served. */
   readonly inversions: number;
-  /** Undefined where the goodput didn't come back. */
+  /** Time from the end of the surge; undefined without recovery. */
   readonly recoveryMs: number | undefined;
-  /** Runs of all backend servers for one whole root request. */
+  /** Runs of all backend servers per root request with a complete answer. */
   readonly runsPerWhole: number;
-  /** Sends of callers for one root request. */
+  /** Sends of callers per root request. */
   readonly sendsPerRoot: number;
-  /** Sent later than planned, 99 in 100, in milliseconds. */
+  /** 99th percentile of the time from planned to actual send, in ms. */
   readonly lagP99Ms: number;
-  /** Busy share of all cores of the machine. */
+  /** Busy share of all cores of the machine, from 0 to 1. */
   readonly cpuShare: number;
 }
 
-const CALM = 0.6;
-const LOADERS = 2;
-const LEAD_MS = 1_500;
+/** Load before and after the surge, as a multiple of the capacity. */
+const BASE_LOAD = 0.6;
+const LOAD_PROCESSES = 2;
+/** Time for the load processes to start. */
+const START_DELAY_MS = 1_500;
+/** Time for the last runs to be counted. */
 const SETTLE_MS = 500;
 const STRAGGLER_FACTOR = 10;
-/** The start of the load and of the surge is left out. */
+/** Time excluded from figures at the start of the load and of the surge. */
 const RAMP_MS = 500;
 
 /** Runs `scenario` once. */
@@ -85,12 +92,12 @@
   const plan = createPlan(workload, deployment, scenario, times);
   const loading = Promise.all(
     Array.from(
-      { length: LOADERS },
-      (_, index) => runLoader({ ...plan, seed: seed * 100 + index }),
+      { length: LOAD_PROCESSES },
+      (_, index) => runLoadProcess({ ...plan, seed: seed * 100 + index }),
     ),
   );
   if (straggler !== undefined) {
-    await sleep(LEAD_MS + times.beforeMs);
+    await sleep(START_DELAY_MS + times.beforeMs);
     const serviceMs = workload.serviceMs[scenario.straggler!]!;
     const slowMs = serviceMs * STRAGGLER_FACTOR;
     await setBehaviour(straggler, { serviceMs: slowMs });
@@ -102,7 +109,9 @@
   await sleep(SETTLE_MS);
   const runs = await countRuns(deployment) - runsBefore;
   if (!outcomes.some(({ result }) => result === "whole")) {
-    throw new Error(`No whole answer in ${scenario.name}: the load is broken`);
+    throw new Error(
+      `No complete answer in scenario ${scenario.name}; check the load processes`,
+    );
   }
   const perSecond = scenario.multiple * computeCapacity(workload);
   return {
@@ -118,18 +127,18 @@
   scenario: Scenario,
   times: ScenarioTimes,
 ): Omit<LoadPlan, "seed"> {
-  const capacity = computeCapacity(workload) / LOADERS;
-  const calm = CALM * capacity;
+  const capacity = computeCapacity(workload) / LOAD_PROCESSES;
+  const basePerSecond = BASE_LOAD * capacity;
   return {
     workload: workload.name,
     phases: [
-      { durationMs: times.beforeMs, perSecond: calm },
+      { durationMs: times.beforeMs, perSecond: basePerSecond },
       { durationMs: times.surgeMs, perSecond: scenario.multiple * capacity },
-      { durationMs: times.afterMs, perSecond: calm },
+      { durationMs: times.afterMs, perSecond: basePerSecond },
     ],
     entries: deployment.entries,
     resends: scenario.resends,
-    startAtMs: Date.now() + LEAD_MS,
+    startAtMs: Date.now() + START_DELAY_MS,
   };
 }
 
@@ -146,7 +155,7 @@
   const after = { fromMs: surgeEndMs, toMs: surgeEndMs + afterMs };
   const ranks = workload.kinds.map((kind) => ({
     kind: kind.kind,
-    isImportant: kind.importance >= IMPORTANT,
+    isImportant: kind.importance >= MIN_IMPORTANT,
     service: kind.service,
   }));
   const isImportant = new Map(ranks.map((r) => [r.kind, r.isImportant]));
@@ -178,7 +187,7 @@
   return reports.reduce((sum, { started }) => sum + started, 0);
 }
 
-async function runLoader(plan: LoadPlan): Promise<readonly RootOutcome[]> {
+async function runLoadProcess(plan: LoadPlan): Promise<readonly RootOutcome[]> {
   const program = fileURLToPath(new URL("load_process.js", import.meta.url));
   const child = spawn(process.execPath, [program, JSON.stringify(plan)], {
     stdio: ["ignore", "pipe", "inherit"],
@@ -187,7 +196,7 @@
   child.stdout.on("data", (chunk: Uint8Array) => chunks.push(chunk));
   const exitCode = await new Promise((resolve) => child.on("close", resolve));
   if (exitCode !== 0) {
-    throw new Error(`Load process ended with ${exitCode}`);
+    throw new Error(`Load process exited with code ${exitCode}`);
   }
   return JSON.parse(Buffer.concat(chunks).toString()) as RootOutcome[];
 }
--- a/bench/workload.ts
+++ b/bench/workload.ts
@@ -1,47 +1,48 @@
-/** The call graphs of both deployments, scaled down for one machine. */
+/** Call graphs of two deployments, scaled down to run on one machine. */
 
-/** One kind of request and what it takes to answer it. */
+/** One kind of request and the work needed to answer it. */
 export interface WorkloadKind {
   readonly kind: string;
   readonly service: string;
   readonly method: "GET" | "POST";
-  /** A number is appended for each request, where it ends in a slash. */
+  /** If it ends in a slash, an id is appended for each request. */
   readonly path: string;
   readonly importance: number;
-  /** As in the deployment's table, in milliseconds. */
+  /** Timeout, as in the deployment's table. */
   readonly timeoutMs: number;
-  /** Share of all root requests. */
+  /** Share of all root requests, from 0 to 1. */
   readonly share: number;
   readonly bodyBytes: number;
-  /** Kinds that its backend server calls, all at once. */
+  /** Kinds that its backend server calls concurrently. */
   readonly calls: readonly string[];
 }
 
-/** One deployment. */
+/** The call graph and the table of one deployment. */
 export interface Workload {
   readonly name: string;
   readonly table: string;
   /**
-   * Own time of one request at a service, in milliseconds. Long ones, so that
-   * the slots and not the processors of one machine are the limit at 8 times
-   * the capacity, and with hard resends.
+   * Processing time of one request at a service, in milliseconds, without its
+   * calls. Long enough that slots and not processor time are the limit, even at
+   * 8 times the capacity and with many resends.
    */
   readonly serviceMs: Readonly<Record<string, number>>;
   readonly kinds: readonly WorkloadKind[];
-  /** Slots of one backend server, of services that have other than `SLOTS`. */
+  /** Slots of one backend server, by service; `SLOTS` where absent. */
   readonly slots?: Readonly<Record<string, number>>;
 }
 
-/** Backend servers of each service. */
+/** Number of backend servers of each service. */
 export const SERVERS_PER_SERVICE = 2;
-/** Requests that one backend server runs at a time, if not set otherwise. */
+/** Default number of requests that one backend server runs concurrently. */
 export const SLOTS = 4;
-/** Kinds from this importance up must be the last refused. */
-export const IMPORTANT = 8;
+/** Lowest importance of the kinds that must be refused last. */
+export const MIN_IMPORTANT = 8;
 
 /**
- * A service that waits for others holds its slots for their queues as well.
- * With `SLOTS` it alone would refuse what the services below have room for.
+ * Slots of a service that calls others. It holds its slots also while its calls
+ * are queued; with `SLOTS` it would refuse requests that the downstream services
+ * still have capacity for.
  */
 const WAITING_SLOTS = 8;
 const BATCH_BYTES = 20_000;
@@ -153,7 +154,7 @@
   return [...new Set(workload.kinds.map(({ service }) => service))];
 }
 
-/** Computes the mean number of runs that a whole root request needs. */
+/** Computes the mean number of runs for a root request and all its calls. */
 export function computeRunsPerRoot(workload: Workload): number {
   const { kinds } = workload;
   return kinds.reduce(
@@ -162,63 +163,65 @@
   );
 }
 
-/** Computes the root requests a second that fill the busiest service. */
+/** Computes the root requests per second that saturate the busiest service. */
 export function computeCapacity(workload: Workload): number {
   const slotMs = new Map<string, number>();
   for (const kind of workload.kinds) {
-    for (const [service, ms] of listHolds(workload, kind)) {
+    for (const [service, ms] of listSlotTimes(workload, kind)) {
       slotMs.set(service, (slotMs.get(service) ?? 0) + kind.share * ms);
     }
   }
   const rates = [...slotMs].map(([service, ms]) =>
-    computeSlotMs(workload, service) / ms
+    computeSlotMsPerSecond(workload, service) / ms
   );
   return Math.min(...rates);
 }
 
 /**
- * Computes the most whole answers a second at `perSecond` root requests a
- * second, where the more important kinds are served first.
+ * Computes the highest possible goodput at `perSecond` root requests per second
+ * if more important kinds are served first.
  */
 export function computeIdealGoodput(
   workload: Workload,
   perSecond: number,
 ): number {
-  const left = new Map<string, number>();
+  const remainingMs = new Map<string, number>();
   const byImportance = workload.kinds.toSorted((a, b) =>
     b.importance - a.importance
   );
   let goodput = 0;
   for (const kind of byImportance) {
-    const holds = listHolds(workload, kind);
-    const room = holds.map(([service, ms]) =>
-      (left.get(service) ?? computeSlotMs(workload, service)) / ms
+    const slotTimes = listSlotTimes(workload, kind);
+    const maxPerSecond = slotTimes.map(([service, ms]) =>
+      (remainingMs.get(service) ?? computeSlotMsPerSecond(workload, service)) /
+      ms
     );
-    const served = Math.min(kind.share * perSecond, ...room);
+    const served = Math.min(kind.share * perSecond, ...maxPerSecond);
     goodput += served;
-    for (const [service, ms] of holds) {
-      const before = left.get(service) ?? computeSlotMs(workload, service);
-      left.set(service, before - served * ms);
+    for (const [service, ms] of slotTimes) {
+      const before = remainingMs.get(service) ??
+        computeSlotMsPerSecond(workload, service);
+      remainingMs.set(service, before - served * ms);
     }
   }
   return goodput;
 }
 
-/** Slots of one backend server of a service. */
+/** Returns the number of slots of one backend server of a service. */
 export function countSlots(workload: Workload, service: string): number {
   return workload.slots?.[service] ?? SLOTS;
 }
 
-/** Slot time that a service has in a second, in milliseconds. */
-function computeSlotMs(workload: Workload, service: string): number {
+/** Computes the slot time of a service per second, in milliseconds. */
+function computeSlotMsPerSecond(workload: Workload, service: string): number {
   return SERVERS_PER_SERVICE * countSlots(workload, service) * 1_000;
 }
 
 /**
- * Lists the slot time that one request takes at each service. A slot stays
- * taken while the calls that its request makes are under way.
+ * Lists the slot time that one request uses at each service, in milliseconds. A
+ * request holds its slot until its calls have ended.
  */
-function listHolds(
+function listSlotTimes(
   workload: Workload,
   kind: WorkloadKind,
 ): readonly (readonly [string, number])[] {
