--- a/src/daemon/test/accept_queue_test.ts
+++ b/src/daemon/test/accept_queue_test.ts
@@ -40,7 +40,7 @@
         callOnce(entry.edge, {
           requestId: `r${index}`,
           request: `GET /bales/${index} HTTP/1.1\r\nHost: a.example\r\n\r\n`,
-          patienceMs: STAY_MS,
+          callerTimeoutMs: STAY_MS,
         }),
     );
     await Promise.all(calls);
--- a/standin/leaving_callers.ts
+++ b/standin/leaving_callers.ts
@@ -87,10 +87,10 @@
 /** Connects, sends a request, and closes on an answer or a timeout. */
 export function callOnce(
   address: string,
-  { requestId, request, patienceMs }: {
+  { requestId, request, callerTimeoutMs }: {
     readonly requestId: string;
     readonly request: string;
-    readonly patienceMs: number;
+    readonly callerTimeoutMs: number;
   },
 ): Promise<Departure> {
   const [host, port] = address.split(":");
@@ -101,7 +101,7 @@
       socket.destroy();
       resolve({ requestId, leftAtMs: performance.now(), status });
     };
-    const timer = setTimeout(() => leave(undefined), patienceMs);
+    const timer = setTimeout(() => leave(undefined), callerTimeoutMs);
     socket.on("connect", () => socket.write(request));
     socket.on("error", () => leave(undefined));
     socket.on("data", (head) => leave(Number(String(head).slice(9, 12))));
