--- a/src/engine/relay/common/dialect.ts
+++ b/src/engine/relay/common/dialect.ts
@@ -51,7 +51,10 @@
   | { readonly type: "NotRun"; readonly reason: string }
   /** Another instance uses the address; it did not run the request. */
   | { readonly type: "WrongInstance" }
-  /** The answer to another request: the connection can't be reused. */
+  /**
+   * Not a valid answer to this request, but for example the answer to another:
+   * the connection can't be reused.
+   */
   | { readonly type: "Foreign"; readonly reason: string };
 
 /** Pure translations of headers at the two edges of the mesh. */
--- a/src/engine/relay/common/entry_call.ts
+++ b/src/engine/relay/common/entry_call.ts
@@ -27,7 +27,7 @@
    * How many nodes refused the call before their backend server received it.
    */
   rerouteCount: number;
-  /** When a refused caller may repeat its request, from the refusal on. */
+  /** Time from a refusal until the caller may repeat its request. */
   retryAfterMs: number;
   /** Attempt in progress; undefined if there is none. */
   attempt: Attempt | undefined;
--- a/src/engine/relay/common/entry_types.ts
+++ b/src/engine/relay/common/entry_types.ts
@@ -39,9 +39,9 @@
 
 /** Why a call is sent to another backend server. */
 export type RetryCause =
-  /** Nothing was received on the link to its node for too long. */
+  /** Nothing was received on the link of its attempt for too long. */
   | "stalled"
-  /** The link to its node closed. */
+  /** The link of its attempt was lost. */
   | "link_lost"
   /** The backend server answered with an error status. */
   | "status"
--- a/src/engine/relay/common/gate.ts
+++ b/src/engine/relay/common/gate.ts
@@ -21,8 +21,8 @@
   readonly instanceId: string;
   /**
    * Wall-clock time of its start, in milliseconds. It tells process instances
-   * apart: a restarted backend server may keep its `instanceId`, but none of
-   * its calls. Undefined if the backend server doesn't report it.
+   * apart: a restarted backend server may keep its `instanceId`, but no longer
+   * runs its earlier calls. Undefined if the backend server doesn't report it.
    */
   readonly startedAtMs: number | undefined;
   readonly service: string;
@@ -311,8 +311,8 @@
     hasTooLittleTime(state, call, nowMs)
   );
   if (expired.length > 0) {
-    const kept = state.queue.filter((call) => !expired.includes(call));
-    state.queue.splice(0, state.queue.length, ...kept);
+    const remaining = state.queue.filter((call) => !expired.includes(call));
+    state.queue.splice(0, state.queue.length, ...remaining);
   }
   updatePressure(state.pressure, {
     limit: computeLimit(state),
--- a/src/engine/relay/common/gate_call_index.ts
+++ b/src/engine/relay/common/gate_call_index.ts
@@ -38,7 +38,7 @@
 }
 
 /**
- * Bytes of request bodies that are buffered at the same time. Further calls are
+ * Limit on the bytes of request bodies that are buffered. Further calls are
  * refused, so that many large uploads at once don't exhaust the memory.
  */
 const MAX_BODY_BYTES = 50_331_648;
--- a/src/engine/relay/common/link_silence.ts
+++ b/src/engine/relay/common/link_silence.ts
@@ -10,7 +10,7 @@
 
 /**
  * A link with calls in progress is closed after this silence. The other end
- * sends a report every 100 ms, so that several reports were missed.
+ * sends a report every 100 ms, so by then several have been missed.
  */
 export const LINK_SILENCE_LIMIT_MS = 1_200;
 /**
--- a/src/engine/relay/common/member_choice.ts
+++ b/src/engine/relay/common/member_choice.ts
@@ -27,7 +27,7 @@
 const REMOTE_PENALTY = 0.15;
 /** Upper bound of the random part of a score: less than one slot in fifty. */
 const MAX_JITTER = 0.02;
-/** Derives a different jitter for each member from one draw: not an integer. */
+/** Not an integer, so that one draw gives each member a different jitter. */
 const JITTER_STRIDE = 7.31;
 /** Share of failures from which a member may count as failing. */
 const FAILING_SHARE = 0.2;
@@ -50,7 +50,7 @@
 /** Bounds of the slowness: a service time may stem from a few unusual runs. */
 const MIN_SLOWNESS = 0.4;
 const MAX_SLOWNESS = 3;
-/** Penalty of a member that may run nothing; higher than any other score. */
+/** Penalty of a member whose limit is 0; higher than any other score. */
 const CLOSED_PENALTY = 100;
 
 /**
--- a/src/engine/relay/common/route_waiters.ts
+++ b/src/engine/relay/common/route_waiters.ts
@@ -1,10 +1,10 @@
-/** Queue of the requests that arrive before any routes are known. */
+/** Queue of requests that wait for routes, or for workspace keys or limits. */
 import { computeRoutesWaitEndMs, MAX_WAITING } from "./start_wait.ts";
 import type { StartWait } from "./start_wait.ts";
 
 interface Waiter<T> {
   readonly request: T;
-  /** When its wait times out, by the monotonic clock. */
+  /** When its wait times out, by the steady clock. */
   readonly endMs: number;
 }
 
--- a/src/engine/relay/common/start_wait.ts
+++ b/src/engine/relay/common/start_wait.ts
@@ -17,8 +17,9 @@
 }
 
 /**
- * Longest wait for the routes. With a quorum of replicas an election and the
- * confirmation of the routes take less time; without one, waiting is useless.
+ * Longest wait for the routes, or for workspace keys or limits. With a quorum
+ * of replicas an election and the confirmation of the routes take less time;
+ * without one, waiting is useless.
  */
 const MAX_ROUTES_WAIT_MS = 1_500;
 /** Longest wait for a first member: nodes announce themselves within it. */
@@ -32,7 +33,7 @@
  */
 export const MAX_WAITING = 512;
 
-/** Computes when a request stops waiting for the routes. */
+/** Computes the end of a wait for routes, or for workspace keys or limits. */
 export function computeRoutesWaitEndMs(wait: StartWait): number {
   return computeWaitEndMs(wait, MAX_ROUTES_WAIT_MS);
 }
--- a/src/engine/relay/node/backend_client.ts
+++ b/src/engine/relay/node/backend_client.ts
@@ -57,7 +57,7 @@
 
 /** Keep-alive time of idle connections if the server doesn't state one. */
 const DEFAULT_KEEP_ALIVE_MS = 4_000;
-/** Upper limit of the time that a `Keep-Alive` header may ask for. */
+/** Upper bound of the keep-alive time that a server states. */
 const MAX_KEEP_ALIVE_MS = 60_000;
 /**
  * Connections are closed this long before the server would close them, so that
@@ -122,13 +122,14 @@
   }
 }
 
+/** Whether requests of a method have a body, even if it is empty. */
 function hasBody(method: string): boolean {
   return method === "POST" || method === "PUT" || method === "PATCH";
 }
 
 /**
- * Dispatch options that carry the answer handler: the pool wraps handlers, so a
- * client can't get at it by its own handler argument.
+ * Dispatch options that carry the answer handler. The pool wraps the handler,
+ * so that a client's `dispatch` receives the wrapper as its argument.
  */
 interface AnswerDispatchOptions extends Dispatcher.DispatchOptions {
   readonly answerHandler?: AnswerHandler;
@@ -145,9 +146,9 @@
 }
 
 /**
- * Returns whether a connection whose end was read was in fact reset. A reset
- * right after the last bytes reaches Node as an orderly end, because libuv
- * treats a hang-up after a short read as one. A write fails if the connection
+ * Returns whether a connection that seems to have ended in order was reset. A
+ * reset right after the last bytes reaches Node as an orderly end, because
+ * libuv treats a hang-up after a short read as one. A write fails if the connection
  * was reset, and succeeds if it was closed in order. Servers ignore the empty
  * line that is written (RFC 9112, 2.2).
  */
@@ -203,7 +204,7 @@
 
 /**
  * Records the end of a connection. Called before undici adds its own listeners,
- * so that these run first.
+ * so that the ones added here run first.
  */
 function trackConnectionEnd(socket: Socket, state: ConnectionEndState): void {
   Object.assign(state, createConnectionEndState(), { socket });
@@ -224,14 +225,14 @@
   #head: BackendHead | undefined;
   #isSettled = false;
   #isAborted = false;
-  #hasBegun = false;
+  #hasStartedSending = false;
 
   constructor(options: BackendSendOptions) {
     this.#options = options;
   }
 
   get hasStartedSending(): boolean {
-    return this.#hasBegun;
+    return this.#hasStartedSending;
   }
 
   abort(): void {
@@ -248,7 +249,7 @@
       ? "exchange aborted before it was sent"
       : this.#options.checkStart();
     if (reason === undefined) {
-      this.#hasBegun = true;
+      this.#hasStartedSending = true;
     } else {
       this.#settle({ type: "Withheld", reason });
       controller.abort(new Error(reason));
--- a/src/engine/relay/node/caller_connection.ts
+++ b/src/engine/relay/node/caller_connection.ts
@@ -57,7 +57,7 @@
     return this.#pipeline.size === 0;
   }
 
-  /** Whether further requests are ignored; their caller knows them as unread. */
+  /** Whether further requests are ignored; their caller takes them as unread. */
   get isClosing(): boolean {
     return this.#pipeline.isClosing;
   }
--- a/src/engine/relay/node/entry_calls.ts
+++ b/src/engine/relay/node/entry_calls.ts
@@ -127,9 +127,9 @@
 const ROOT_RETRY_MS = 700;
 
 /**
- * The entry: the node through which the calls of its VM's callers enter the
- * mesh. Keeps the calls in progress by number; a process never uses a number
- * twice.
+ * Calls in progress of this VM's callers, by number; a process never uses a
+ * number twice. This node is the entry of the calls: through it they enter the
+ * mesh.
  */
 export class EntryCalls {
   readonly #options: EntryCallsOptions;
@@ -470,8 +470,8 @@
   }
 
   /**
-   * Records the result of an attempt at its member, and logs if the member is
-   * excluded for it.
+   * Records the result of an attempt at its member, and logs if that ejects the
+   * member.
    */
   #recordResult(call: EntryCall, isFailure: boolean, nowMs: number): void {
     const { member } = call.attempt!;
@@ -576,7 +576,10 @@
     }
   }
 
-  /** Finds the call that is at a node now; frames of abandoned attempts find none. */
+  /**
+   * Finds the call whose current attempt is at a node; undefined for frames of
+   * abandoned attempts.
+   */
   #findCurrent(address: string, callNumber: number): EntryCall | undefined {
     const call = this.#calls.get(callNumber);
     return call?.attempt?.address === address ? call : undefined;
--- a/src/engine/relay/node/gate_calls.ts
+++ b/src/engine/relay/node/gate_calls.ts
@@ -199,8 +199,8 @@
 
   /**
    * Fails calls well past their deadlines, so that a backend server that
-   * never answers doesn't hold their slots forever. It was sent the deadline,
-   * and has stopped work by then.
+   * never answers doesn't hold their slots forever. The deadline was sent with
+   * the request, so the backend server should have stopped work by then.
    */
   #failOverdue(): void {
     const cutoffMs = this.#options.readClock() - ANSWER_GRACE_MS;
@@ -325,7 +325,10 @@
     });
   }
 
-  /** Runs an admitted call, unless the backend server left or time ran out. */
+  /**
+   * Runs an admitted call; refuses it if the backend server is gone or
+   * draining, or the deadline has passed.
+   */
   #runOrRefuse(call: GateCallState): void {
     const { backend } = this.#gate;
     if (backend === undefined) {
@@ -361,7 +364,7 @@
     });
   }
 
-  /** Returns why an answer belongs to another request; undefined if it doesn't. */
+  /** Returns why an answer is not a valid one to the request, or undefined. */
   #checkHead(head: BackendHead, requestId: string): string | undefined {
     const { status, headers } = head;
     const { validateAnswer } = this.#options.dialect;
