--- a/src/engine/admission/common/admission_level.ts
+++ b/src/engine/admission/common/admission_level.ts
@@ -40,9 +40,9 @@
 
 /**
  * Computes the hash that orders root requests of one importance. It is salted
- * with the current period, so that no caller is shed permanently. The kinds
- * admitted at a level are in the ratio of their weights, by the keys
- * `u ** (1 / weight)` of weighted sampling (Efraimidis and Spirakis, 2006).
+ * with the current period, so that no caller is shed permanently. At any
+ * level, the kinds are admitted in the ratio of their weights: the hash is the
+ * key `u ** (1 / weight)` of weighted sampling (Efraimidis and Spirakis, 2006).
  */
 export function computeAdmissionHash(inputs: HashInputs): number {
   const { key, share, nowMs } = inputs;
--- a/src/engine/admission/common/admission_queue.ts
+++ b/src/engine/admission/common/admission_queue.ts
@@ -33,8 +33,8 @@
  */
 export const BUSY_INTERVAL_MS = 100;
 /**
- * Wait limit in an overloaded queue, unless the expected service time or the
- * part of the timeout gives a longer one.
+ * Minimum wait limit in an overloaded queue. The expected service time or a
+ * part of the timeout may give a longer one.
  */
 const TARGET_WAIT_MS = 50;
 /** A request may wait for the timeout of its row divided by this. */
@@ -111,10 +111,11 @@
 
 /**
  * Keeps the wait short in a queue that does not empty. Refuses the requests of
- * the lowest importance that have waited for longer than their service time
- * and an eighth of the timeout. The limit is a quarter of the timeout for
- * downstream calls, as refusing them wastes the work already done for their
- * root requests, and for kinds without a known service time.
+ * the lowest importance that have waited for longer than the expected service
+ * time, an eighth of the timeout and `TARGET_WAIT_MS`. Instead of an eighth it
+ * is a quarter of the timeout for downstream calls, as refusing them wastes the
+ * work already done for their root requests, and for kinds without a known
+ * service time.
  */
 export function shedLateRequests(
   state: AdmissionState,
@@ -130,7 +131,7 @@
   const lowest = Math.min(...queue.map((request) => request.importance));
   const overdue = queue.filter((request) =>
     request.importance === lowest &&
-    nowMs - request.queuedAtMs > computeMaxWait(state, request)
+    nowMs - request.queuedAtMs > computeMaxWaitMs(state, request)
   );
   return refuseAll(state, overdue, "queue_wait", nowMs);
 }
@@ -222,10 +223,10 @@
   const { expectedMs } = getKindState(state, request.row.kind).time;
   const rounds = state.queue.length / computeCapacity(state, nowMs);
   return expectedMs === undefined ||
-    rounds * expectedMs > computeMaxWait(state, request);
+    rounds * expectedMs > computeMaxWaitMs(state, request);
 }
 
-function computeMaxWait(
+function computeMaxWaitMs(
   state: AdmissionState,
   request: QueuedRequest,
 ): number {
--- a/src/engine/admission/common/caller_spread.ts
+++ b/src/engine/admission/common/caller_spread.ts
@@ -107,6 +107,8 @@
       return undefined;
     }
     const callsPerNode = calls / Math.max(1, nodes.get(service) ?? 1);
+    // A service is compared only if at least one call from its VMs would be
+    // expected at the ratio.
     const others = [...nodes].filter(([name, count]) =>
       name !== service && count > 0 &&
       (allCalls.get(name) ?? 0) >= MIN_CALLER_CALLS &&
--- a/src/engine/admission/common/coincidence.ts
+++ b/src/engine/admission/common/coincidence.ts
@@ -64,7 +64,7 @@
 export class CoincidenceCounter {
   readonly #parents = new Map<string, Parent>();
   readonly #calls = new Map<string, Calls>();
-  #startedAtMs = 0;
+  #intervalStartMs = 0;
 
   /** Records that a run began (1) or ended (-1) at the own backend server. */
   recordRun(route: string, change: 1 | -1, nowMs: number): void {
@@ -126,7 +126,7 @@
   }
 
   #advance(nowMs: number): void {
-    const lengthMs = nowMs - this.#startedAtMs;
+    const lengthMs = nowMs - this.#intervalStartMs;
     if (lengthMs < INTERVAL_MS) {
       return;
     }
@@ -145,7 +145,7 @@
         this.#parents.delete(route);
       }
     }
-    this.#startedAtMs = nowMs;
+    this.#intervalStartMs = nowMs;
   }
 
   #closeInterval(route: string, lengthMs: number, decay: number): void {
--- a/src/engine/admission/common/level_control.ts
+++ b/src/engine/admission/common/level_control.ts
@@ -49,6 +49,7 @@
 const MAX_SHED_SHARE = 0.3;
 /** First decrease of the position; doubles in each consecutive calm window. */
 const INITIAL_DECREASE = 0.02;
+/** Weight of a window in the smoothed pressure. */
 const PRESSURE_GAIN = 0.2;
 
 /** Counts an arrival at or above the level. */
@@ -130,14 +131,21 @@
   }
   let position = control.position;
   let remaining = count;
-  for (let i = Math.floor(position); i <= MAX_IMPORTANCE; i += 1) {
-    const arrivals = control.arrivals[i]!;
+  for (
+    let importance = Math.floor(position);
+    importance <= MAX_IMPORTANCE;
+    importance += 1
+  ) {
+    const arrivals = control.arrivals[importance]!;
     if (arrivals >= remaining) {
       const fraction = arrivals === 0 ? 0 : remaining / arrivals;
-      return Math.min(maxPosition, position + (i + 1 - position) * fraction);
+      return Math.min(
+        maxPosition,
+        position + (importance + 1 - position) * fraction,
+      );
     }
     remaining -= arrivals;
-    position = i + 1;
+    position = importance + 1;
   }
   return maxPosition;
 }
--- a/src/engine/mesh/common/frames.ts
+++ b/src/engine/mesh/common/frames.ts
@@ -125,7 +125,10 @@
   callers: readonly (readonly [service: string, calls: number])[],
 ])[];
 
-/** First frame on a link: names the service on whose VM its calls begin. */
+/**
+ * First frame on a link, sent again after a change: names the service on whose
+ * VM its calls begin.
+ */
 export interface CallerIntroduced {
   readonly type: "CallerIntroduced";
   readonly service: string;
--- a/src/engine/mesh/node/mesh_client.ts
+++ b/src/engine/mesh/node/mesh_client.ts
@@ -22,7 +22,10 @@
   queuedFrames: MeshFrame[];
   /** Whether the link has ever been open. */
   wasOpen: boolean;
-  /** When it opened, or its last message came; the creation before that. */
+  /**
+   * When the last message was received; before the first one, when the link
+   * opened or, if it is not open yet, was created.
+   */
   lastReceivedAtMs: number;
   lastUsedAtMs: number;
 }
--- a/src/engine/mesh/node/mesh_server.ts
+++ b/src/engine/mesh/node/mesh_server.ts
@@ -88,7 +88,10 @@
     accepted.writer.write(frame);
   }
 
-  /** Reports the load on links in use where no answer has carried it. */
+  /**
+   * Sends the report on links in use. One of the load alone is not sent on
+   * links whose answers have carried the load.
+   */
   report(): void {
     const report = this.#options.createReport();
     const hasMoreThanLoad = (report.below?.length ?? 0) > 0 ||
--- a/src/engine/quarantine/common/known_suspects.ts
+++ b/src/engine/quarantine/common/known_suspects.ts
@@ -128,5 +128,7 @@
   if (oldest === undefined || oldest.expiresAtMs > nowMs) {
     return known;
   }
-  return new Map([...known].filter(([, one]) => one.expiresAtMs > nowMs));
+  return new Map(
+    [...known].filter(([, suspect]) => suspect.expiresAtMs > nowMs),
+  );
 }
--- a/src/engine/quarantine/common/quarantine_reducer.ts
+++ b/src/engine/quarantine/common/quarantine_reducer.ts
@@ -52,6 +52,7 @@
   }
   | {
     readonly type: "RunRequested";
+    /** Identifies this request in the reply. */
     readonly askId: number;
     readonly nodeId: string;
     readonly fingerprint: Fingerprint;
--- a/src/engine/retry/common/settled_attempts.ts
+++ b/src/engine/retry/common/settled_attempts.ts
@@ -76,9 +76,9 @@
     return settledAs;
   }
   for (const block of settled.closed) {
-    const as = block.attempts.get(attemptId);
-    if (as !== undefined) {
-      return as;
+    const settledInBlock = block.attempts.get(attemptId);
+    if (settledInBlock !== undefined) {
+      return settledInBlock;
     }
   }
   return undefined;
