--- a/src/engine/call/common/call_level.ts
+++ b/src/engine/call/common/call_level.ts
@@ -62,20 +62,20 @@
     const row = state.table.rows.find((r) => r.kind === callee);
     if (row !== undefined && expiresAtMs > nowMs) {
       const members = listMembers(state, row.service);
-      const below = computeServiceLevel(
+      const calleeLevel = computeServiceLevel(
         state.levels,
         { kind: callee, members },
         nowMs,
       );
-      level = pickHigherLevel(level, below);
+      level = pickHigherLevel(level, calleeLevel);
     }
   }
   return level;
 }
 
 /**
- * Whether a root request ranks below the admission level of its service. Only
- * before its first attempt: later, refusing it would waste the work done.
+ * Whether a root request ranks below the admission level of its service. False
+ * after its first attempt: refusing it then would waste the work done.
  */
 export function isShed(
   state: NodeState,
--- a/src/engine/call/common/claim_steps.ts
+++ b/src/engine/call/common/claim_steps.ts
@@ -59,7 +59,11 @@
   return !row.idempotent && row.key !== "none" && requestKey !== undefined;
 }
 
-/** Whether an attempt is answered with the stored answer of an earlier one. */
+/**
+ * Whether the answer of an attempt is the stored one of an earlier attempt.
+ * Valid once the attempt is answered: one that ran with a claim then has a
+ * collected answer of its own.
+ */
 export function isReplay(call: ServedCall): boolean {
   return isClaimNeeded(call) && call.collectedStatus === undefined;
 }
@@ -71,8 +75,8 @@
 ): Step | undefined {
   const { attemptId, requestKey } = call;
   const { ingress } = state.self;
-  const by = { attemptId, ingress };
-  const step = claimAttempt(state.claims, requestKey!, by);
+  const attempt = { attemptId, ingress };
+  const step = claimAttempt(state.claims, requestKey!, attempt);
   return step && applyClaims(state, step);
 }
 
@@ -95,7 +99,10 @@
   );
 }
 
-/** Ends the claim of an attempt that ended; releases one that was not won. */
+/**
+ * Ends the claim of an attempt that ended; releases one that was not won. A
+ * claim whose outcome is being recorded continues.
+ */
 export function endClaim(state: NodeState, attemptId: string): Step {
   const { claims } = state;
   const coordination = claims.claimant.coordinations.get(attemptId);
--- a/src/engine/call/common/crash_steps.ts
+++ b/src/engine/call/common/crash_steps.ts
@@ -48,7 +48,10 @@
 
 /** Prefix of the request ids of crash reports. */
 const CRASH_NOTICE_PREFIX = `${QUARANTINE_PREFIX}tell/`;
-/** Resets at once that indicate a crash, though the backend server answers. */
+/**
+ * Simultaneous connection resets that indicate a crash, even if the backend
+ * server accepts the connection of the probe.
+ */
 const MIN_SIMULTANEOUS_RESETS = 2;
 /** Limit of the nodes that a crash is reported to. */
 const MAX_NOTIFIED_PEERS = 1_000;
--- a/src/engine/call/common/entry_ask.ts
+++ b/src/engine/call/common/entry_ask.ts
@@ -11,9 +11,12 @@
 
 /** Time without a sign of progress after which a status is requested. */
 export const STATUS_DELAY_MS = 1_000;
-/** The same as a part of the kind's timeout, where that is shorter. */
+/** Part of the kind's timeout that replaces `STATUS_DELAY_MS` if shorter. */
 const STATUS_DELAY_RATIO = 1 / 3;
-/** Part of that time after which an attempt joins a request that is due. */
+/**
+ * Part of its status delay after which an attempt joins the request that is due
+ * for another attempt at the same receiver.
+ */
 const BATCHED_STATUS_RATIO = 1 / 2;
 const MAX_ATTEMPTS_PER_REQUEST = 512;
 /** Prefix of the ids of status requests; attempt ids follow. */
--- a/src/engine/call/common/entry_attempts.ts
+++ b/src/engine/call/common/entry_attempts.ts
@@ -40,7 +40,7 @@
 import { recordServiceUse } from "./subscription_step.ts";
 import type { LocalResult, NodeStep, ServedDeps } from "./served_types.ts";
 
-/** Status of an answer in place of one that did not arrive. */
+/** Status of the answer that replaces one that did not arrive. */
 const BACKEND_FAILED_STATUS = 502;
 
 /** Selects a backend server for the call and sends an attempt. */
@@ -151,7 +151,7 @@
   exchangeId: string,
   settled: {
     readonly isNotRun: boolean;
-    /** Whether the receiver provably got nothing, for want of a connection. */
+    /** Whether the receiver provably got nothing, as no connection was made. */
     readonly isUnsent?: boolean;
     readonly reason: string;
   },
--- a/src/engine/call/common/entry_reducer.ts
+++ b/src/engine/call/common/entry_reducer.ts
@@ -1,4 +1,4 @@
-/** Entry calls that resume once members are known, or end with their answer. */
+/** Resumes entry calls once members are known; ends them with their answer. */
 import {
   appendEffects,
   chainReduction,
--- a/src/engine/call/common/entry_reroute.ts
+++ b/src/engine/call/common/entry_reroute.ts
@@ -1,4 +1,7 @@
-/** Attempts without a retry token, where a node refused because it leaves. */
+/**
+ * Limits the attempts that are sent without a retry token, because a draining
+ * node refused the previous one or no connection could be made.
+ */
 import { putEntry } from "./entry_state.ts";
 import type { NodeState } from "./node_state.ts";
 
--- a/src/engine/call/common/entry_state.ts
+++ b/src/engine/call/common/entry_state.ts
@@ -104,11 +104,11 @@
 export function closeEntry(state: NodeState, exchangeId: string): NodeStep {
   const call = state.entries.get(exchangeId)!;
   const key: TimerKey = { owner: "entry", id: exchangeId };
-  const lastAttempt = `${exchangeId}.${call.attemptCount}`;
+  const lastAttemptId = `${exchangeId}.${call.attemptCount}`;
   const next = removeChild({
     ...state,
     entries: deleteEntry(state.entries, exchangeId),
-    entryOfAttempt: deleteEntry(state.entryOfAttempt, lastAttempt),
+    entryOfAttempt: deleteEntry(state.entryOfAttempt, lastAttemptId),
   }, call);
   const parent = call.parentId === undefined
     ? undefined
--- a/src/engine/call/common/peer_reducer.ts
+++ b/src/engine/call/common/peer_reducer.ts
@@ -39,8 +39,8 @@
       return answerQuarantine(state, { askId, message }, nowMs);
   }
   const { incarnation } = state.self;
-  const at = { incarnation, nowMs };
-  const answered = answerClaimMessage(state.claims, message, at);
+  const local = { incarnation, nowMs };
+  const answered = answerClaimMessage(state.claims, message, local);
   const next = { ...state, claims: answered.claims };
   return createReduction(next, [
     { type: "AnswerPeer", askId, reply: answered.reply },
@@ -58,7 +58,7 @@
   nowMs: number,
 ): Reduction<NodeState, NodeEffect> {
   const isSameProcess = message.incarnation === state.self.incarnation;
-  const found: AttemptStatusReply[] = [];
+  const statuses: AttemptStatusReply[] = [];
   let next = state;
   for (const attempt of message.attempts) {
     const known = findAttempt(next, attempt.attemptId);
@@ -68,16 +68,16 @@
     next = settled ?? next;
     const isFenced = settled !== undefined;
     const type = isFenced ? "AttemptFenced" : "AttemptForgotten";
-    found.push(known ?? { type });
+    statuses.push(known ?? { type });
   }
   return appendEffects(createReduction<NodeState, NodeEffect>(next), {
     type: "AnswerPeer",
     askId,
-    reply: { type: "AttemptsFound", found },
+    reply: { type: "AttemptsFound", found: statuses },
   });
 }
 
-/** Returns what is known of an attempt; undefined where it left no record. */
+/** Returns what is known of an attempt; undefined without a record of it. */
 function findAttempt(
   state: NodeState,
   attemptId: string,
--- a/src/engine/call/common/quarantine_ledger.ts
+++ b/src/engine/call/common/quarantine_ledger.ts
@@ -52,7 +52,7 @@
 const CHECK_INTERVAL_MS = 3_000;
 /** Prefix of the request ids of verdicts; the node id follows. */
 const VERDICT_PREFIX = `${QUARANTINE_PREFIX}verdict/`;
-/** Prefix of the request ids of checks of suspects; the address follows. */
+/** Prefix of the request ids of checks of suspects; the owner's address follows. */
 export const CHECK_PREFIX = `${QUARANTINE_PREFIX}check/`;
 
 /** Replies to a quarantine message of another node, or of this one. */
@@ -123,9 +123,9 @@
 }
 
 /**
- * Notifies a node that joins the service of its suspects, some of which it may
- * own and have lost. Of the other nodes, the one that owns a suspect among them
- * sends it.
+ * Sends the suspects of the service to a node that joins it, as it may own some
+ * whose records it has lost. Each suspect is sent by one node: the one that
+ * would own it without the joining node.
  */
 export function notifyJoinedNode(
   state: NodeState,
@@ -134,8 +134,8 @@
 ): Step {
   const { known } = state.quarantine;
   const { nodeId, incarnation, service, ingress } = joined;
-  const before = state.routing.services.get(service)?.members.get(nodeId);
-  const isKnown = before?.incarnation === incarnation;
+  const previous = state.routing.services.get(service)?.members.get(nodeId);
+  const isKnown = previous?.incarnation === incarnation;
   const isOther = service !== state.self.service ||
     nodeId === state.self.nodeId;
   if (isOther || isKnown || known.size === 0) {
@@ -280,7 +280,10 @@
   return chainReduction(recorded, (next) => stepLedger(next, event, nowMs));
 }
 
-/** Ends a run: a complete one clears its suspect, another returns the lease. */
+/**
+ * Ends a run. One with a complete answer clears its suspect; any other only
+ * returns the lease.
+ */
 function endRun(
   state: NodeState,
   ended: Message<"EndRun">,
@@ -374,7 +377,7 @@
   ]);
 }
 
-/** Records the owner's verdict, and when it cleared a suspect. */
+/** Records the owner's verdict, and the time of one that clears a suspect. */
 function applyVerdict(
   state: NodeState,
   verdict: Verdict,
--- a/src/engine/call/common/quarantine_steps.ts
+++ b/src/engine/call/common/quarantine_steps.ts
@@ -39,7 +39,7 @@
 export const LEASE_PREFIX = `${QUARANTINE_PREFIX}lease/`;
 /** Prefix of the request ids of lease ends; the attempt id follows. */
 export const END_PREFIX = `${QUARANTINE_PREFIX}end/`;
-/** Time that the backend server may continue with an abandoned run. */
+/** Time for which an abandoned run counts as still running. */
 const LINGER_MS = 3_000;
 /** Interval at which the end of a lease is reported until the owner replies. */
 const END_RETRY_INTERVAL_MS = 1_000;
@@ -91,7 +91,10 @@
   return requestLease(state, call, nowMs);
 }
 
-/** Creates the answer in quarantine. Not a 5xx status: clients retry those. */
+/**
+ * Creates the answer to a request in quarantine. Its status is not 5xx, as
+ * clients retry those.
+ */
 export function createQuarantinedAnswer(waitMs: number): OwnAnswer {
   return {
     status: 422,
--- a/src/engine/call/common/served_claims.ts
+++ b/src/engine/call/common/served_claims.ts
@@ -41,7 +41,7 @@
   reply: ClaimReply | undefined,
   deps: ServedDeps,
 ): NodeStep {
-  return applySteps(state, receiveReply(state.claims, requestId, reply), deps);
+  return applyStep(state, receiveReply(state.claims, requestId, reply), deps);
 }
 
 /** Applies the holder sets that control sent; ignores other services'. */
@@ -53,7 +53,7 @@
   if (sets.active.service !== state.self.service) {
     return createReduction(state);
   }
-  return applySteps(state, receiveSets(state.claims, sets, state.self), deps);
+  return applyStep(state, receiveSets(state.claims, sets, state.self), deps);
 }
 
 /** Runs the periodic work of claims. */
@@ -62,7 +62,7 @@
   deps: ServedDeps,
 ): NodeStep {
   const step = tickClaims(state.claims, state.self, deps.nowMs);
-  return applySteps(state, step, deps);
+  return applyStep(state, step, deps);
 }
 
 /** Resumes a claim after the pause between two rounds. */
@@ -73,7 +73,7 @@
 ): NodeStep {
   const { claims } = state;
   const step = applyClaimStep(claims, resumeClaim(claims.claimant, attemptId));
-  return applySteps(state, step, deps);
+  return applyStep(state, step, deps);
 }
 
 /**
@@ -104,10 +104,10 @@
     claims,
     recordRunOutcome(claims.claimant, attemptId, answer),
   );
-  return applySteps(next, step, deps);
+  return applyStep(next, step, deps);
 }
 
-function applySteps(
+function applyStep(
   state: NodeState,
   step: NodeClaimStep,
   deps: ServedDeps,
--- a/src/engine/call/common/table_intake.ts
+++ b/src/engine/call/common/table_intake.ts
@@ -47,7 +47,7 @@
     : createReduction(state);
 }
 
-/** Keeps the candidate of the highest version; the wait goes on. */
+/** Keeps the candidate of the highest version; the wait does not restart. */
 function updateCandidate(
   state: NodeState,
   table: Table,
--- a/src/engine/call/node/answer_stream.ts
+++ b/src/engine/call/node/answer_stream.ts
@@ -27,7 +27,8 @@
 
 /**
  * What happens to the body: it is buffered until the answer is relayed
- * ("waiting"), written to the caller ("relayed"), or read and dropped.
+ * ("waiting"), written to the caller ("relayed"), or read and dropped
+ * ("discarded"; "aborted" while the connection closes).
  */
 type Phase = "waiting" | "relayed" | "discarded" | "aborted";
 
--- a/src/engine/call/node/call_reading.ts
+++ b/src/engine/call/node/call_reading.ts
@@ -40,7 +40,7 @@
 
 /**
  * Returns the idempotency key of the request, which its resends share, or else
- * the remote address and port. The address alone would not do: clients of one
+ * the remote address and port. The address alone is not enough: clients of one
  * site that share an address would all get the same key.
  */
 function readAdmissionKey(request: IncomingMessage): string | undefined {
