--- a/src/daemon/cluster_links.ts
+++ b/src/daemon/cluster_links.ts
@@ -73,6 +73,7 @@
   readonly #dialled: ReplicaLinks;
   readonly #accepted: LinkServer;
   readonly #findAddress: (peer: string) => string | undefined;
+  /** Ids of the links last accepted from replicas, by replica id. */
   readonly #linkIds = new Map<string, number>();
 
   constructor(options: {
--- a/src/daemon/line_log.ts
+++ b/src/daemon/line_log.ts
@@ -9,6 +9,7 @@
 export type CountDecision = (event: string, outcome: string) => void;
 
 interface LineBudget {
+  /** Wall clock in whole seconds; `written` counts the lines within it. */
   second: number;
   written: number;
   /** Lines that were dropped since the last one that was written. */
--- a/src/daemon/node_daemon.ts
+++ b/src/daemon/node_daemon.ts
@@ -110,7 +110,8 @@
   /**
    * Announces the drain and resolves when all calls have ended. Until the calls
    * that the local backend server serves have ended, its own calls and those of
-   * callers are served as before. Then the listeners close.
+   * callers are served as before. Then the node leaves its service and closes
+   * its listeners.
    */
   async drain(): Promise<void> {
     this.#loop.dispatch({ type: "DrainRequested" });
--- a/src/daemon/relay_control.ts
+++ b/src/daemon/relay_control.ts
@@ -40,7 +40,7 @@
  * ignored.
  */
 const UNCONFIRMED_ROUTES_WAIT_MS = 4_000;
-/** Least time between proof requests, not counting those in heartbeats. */
+/** Shortest time from any proof request to one outside the heartbeats. */
 const MIN_PROOF_REQUEST_INTERVAL_MS = 100;
 
 /** Owns the link to control, the announcement and the routes in force. */
@@ -102,7 +102,9 @@
   }
 
   /**
-   * Requests a proof that the routes in force are the newest, without delay.
+   * Requests a proof that the routes in force are the newest, without waiting
+   * for the next heartbeat. Has no effect if a proof was requested less than
+   * `MIN_PROOF_REQUEST_INTERVAL_MS` ago.
    */
   requestProof(): void {
     if (
--- a/src/daemon/relay_daemon.ts
+++ b/src/daemon/relay_daemon.ts
@@ -32,10 +32,10 @@
 import { LineLog } from "./line_log.ts";
 
 /**
- * Tick interval of entry and gate; calls expire at most this late. The least
- * backlog of a window is sampled at these ticks, hence a separate timer: with
- * two samples in place of five, a queue that empties at times appears to be
- * standing.
+ * Tick interval of entry and gate; calls expire at most this late. The
+ * smallest backlog within a window is sampled at these ticks, so they have a
+ * timer of their own: with two samples per window instead of five, a queue that
+ * empties now and then appears to be a standing one.
  */
 const TICK_MS = 20;
 /**
@@ -44,7 +44,8 @@
  */
 const REPORT_INTERVAL_MS = 100;
 /**
- * Ticks between records of the own load, at the rate of other nodes' reports.
+ * Ticks between records of the own load, which is recorded at the rate at which
+ * other nodes report theirs.
  */
 const OWN_LOAD_INTERVAL_TICKS = REPORT_INTERVAL_MS / TICK_MS;
 /** Ticks between usage reports of workspaces. */
@@ -52,8 +53,8 @@
 /** Ticks between checks for idle links. */
 const IDLE_CHECK_INTERVAL_TICKS = 500;
 /**
- * Time that a drain still accepts work after its announcement: callers check
- * each second, and are given two checks.
+ * Time for which a drain still accepts work after its announcement: callers
+ * check each second, and get time for two checks.
  */
 const DRAIN_NOTICE_MS = 2_500;
 const POLL_INTERVAL_MS = 20;
@@ -246,7 +247,8 @@
   }
 
   /**
-   * Logs a refused announcement of a backend server; the previous one holds.
+   * Logs a refused announcement of a backend server; the previous one
+   * stays in force.
    */
   reportRefusedAnnouncement(instanceId: string, reason: string): void {
     const event = "AnnouncementRefused";
@@ -262,7 +264,7 @@
    * Applies an announcement of the backend server; undefined after its loss.
    */
   changeBackend(backend: LocalBackend | undefined): void {
-    const before = this.#gate.backend;
+    const previous = this.#gate.backend;
     this.#gate.changeBackend(backend);
     const current = this.#control.announcement;
     const service = backend?.service ?? current.service;
@@ -271,7 +273,7 @@
     const slots = backend?.slots ?? current.slots;
     const isSame = service === current.service && slots === current.slots &&
       isDraining === current.isDraining &&
-      isSameProcessInstance(before, backend);
+      isSameProcessInstance(previous, backend);
     if (isSame) {
       return;
     }
@@ -349,7 +351,7 @@
     }
   }
 
-  /** Records the load of the own gate, a member that no link reports. */
+  /** Records the load of the own gate, which is not reported over any link. */
   #recordOwnLoad(): void {
     const { mesh } = this.#settings;
     const nowMs = readSteadyMs();
@@ -372,8 +374,8 @@
   }
 
   /**
-   * Stops calls to a backend server that accepts no connection until it
-   * announces.
+   * Stops calls to a backend server that no longer accepts connections, until it
+   * announces itself again.
    */
   #handleBackendLoss(): void {
     this.changeBackend(undefined);
--- a/src/daemon/relay_tree.ts
+++ b/src/daemon/relay_tree.ts
@@ -110,12 +110,12 @@
     const callers = this.#takeCallerReport(nowMs);
     const below = this.#listDownstream(nowMs);
     const hasPressure = below.some(([, pressure]) => pressure > 0);
-    const isNews = hasPressure || this.#hadPressure || callers.length > 0;
+    const isTreeNeeded = hasPressure || this.#hadPressure || callers.length > 0;
     this.#hadPressure = hasPressure;
     return {
       type: "LoadReported",
       load,
-      below: isNews ? below : undefined,
+      below: isTreeNeeded ? below : undefined,
       callers,
     };
   }
--- a/src/engine/claims/common/claim_reducer.ts
+++ b/src/engine/claims/common/claim_reducer.ts
@@ -238,7 +238,10 @@
   return createReduction(putCoordination(state, next), requests);
 }
 
-/** Of several attempts still claiming, the one with the lowest id continues. */
+/**
+ * Fails the claim if a competing attempt runs. Of several attempts that are
+ * still claiming, the one with the lowest id continues with another round.
+ */
 function decideChecks(
   state: ClaimState,
   coordination: Coordination,
--- a/src/engine/claims/common/holder_reducer.ts
+++ b/src/engine/claims/common/holder_reducer.ts
@@ -81,24 +81,24 @@
   );
 }
 
-/** Answers a message; `at.incarnation` is that of the local node. */
+/** Answers a message; `local` has the incarnation and clock of this node. */
 export function answerHolder(
   state: HolderState,
   message: Exclude<ClaimMessage, { type: "CheckClaim" }>,
-  at: { readonly incarnation: number; readonly nowMs: number },
+  local: { readonly incarnation: number; readonly nowMs: number },
 ): { readonly state: HolderState; readonly reply: ClaimReply } {
   switch (message.type) {
     case "ClaimKey":
-      return grantClaim(state, message, at);
+      return grantClaim(state, message, local);
     case "ReleaseClaim":
       return {
         state: removeClaim(state, message.key, message.attemptId),
         reply: { type: "ClaimReleased" },
       };
     case "RecordOutcome":
-      return recordOutcome(state, message, at);
+      return recordOutcome(state, message, local);
     case "SealEpoch":
-      return sealEpoch(state, message, at.incarnation);
+      return sealEpoch(state, message, local.incarnation);
   }
 }
 
@@ -148,7 +148,9 @@
   }
   const records = reply.records.reduce(mergeRecord, state.records);
   if (reply.cursor !== undefined) {
-    const holder = copying.source.members.find((one) => one.nodeId === nodeId)!;
+    const holder = copying.source.members.find((member) =>
+      member.nodeId === nodeId
+    )!;
     const request = createSealRequest(copying, holder, reply.cursor);
     return {
       state: { ...state, records },
@@ -187,16 +189,16 @@
 function grantClaim(
   state: HolderState,
   message: Extract<ClaimMessage, { type: "ClaimKey" }>,
-  at: { readonly incarnation: number; readonly nowMs: number },
+  local: { readonly incarnation: number; readonly nowMs: number },
 ): { readonly state: HolderState; readonly reply: ClaimReply } {
   const { epoch, key, claim } = message;
-  const canVote = message.incarnation === at.incarnation &&
+  const canVote = message.incarnation === local.incarnation &&
     epoch === state.votingEpoch && epoch > state.sealedEpoch;
   if (!canVote) {
     return { state, reply: { type: "ClaimRefused", reason: "epoch" } };
   }
   const stored = findRecord(state.records, key);
-  const record = stored === undefined || stored.expiresAtMs <= at.nowMs
+  const record = stored === undefined || stored.expiresAtMs <= local.nowMs
     ? undefined
     : stored;
   if (record !== undefined) {
@@ -211,7 +213,7 @@
   if (isFull(state.records)) {
     return { state, reply: { type: "ClaimRefused", reason: "full" } };
   }
-  const expiresAtMs = at.nowMs + KEY_LIFETIME_MS;
+  const expiresAtMs = local.nowMs + KEY_LIFETIME_MS;
   const granted = { key, claims: [claim], outcome: undefined, expiresAtMs };
   const records = putRecord(state.records, granted);
   return { state: { ...state, records }, reply: { type: "ClaimGranted" } };
@@ -227,7 +229,7 @@
   if (record === undefined || record.outcome !== undefined) {
     return state;
   }
-  const claims = record.claims.filter((one) => one.attemptId !== attemptId);
+  const claims = record.claims.filter((claim) => claim.attemptId !== attemptId);
   const records = claims.length === 0
     ? removeRecord(state.records, key)
     : putRecord(state.records, { ...record, claims });
@@ -236,15 +238,16 @@
 
 /**
  * Stores an outcome whatever its epoch, because it is final, but acknowledges it
- * only in the epoch in which the node votes.
+ * only in the epoch in which the node votes. Omits the answer if the records
+ * would exceed `MAX_RECORD_BYTES` with it.
  */
 function recordOutcome(
   state: HolderState,
   message: Extract<ClaimMessage, { type: "RecordOutcome" }>,
-  at: { readonly incarnation: number; readonly nowMs: number },
+  local: { readonly incarnation: number; readonly nowMs: number },
 ): { readonly state: HolderState; readonly reply: ClaimReply } {
   const { key, outcome } = message;
-  const expiresAtMs = at.nowMs + KEY_LIFETIME_MS;
+  const expiresAtMs = local.nowMs + KEY_LIFETIME_MS;
   const record = { key, claims: [], outcome, expiresAtMs };
   const storedOutcome = findRecord(state.records, key)?.outcome;
   const hasAnswer = storedOutcome?.answer !== undefined;
@@ -255,7 +258,7 @@
   const records = hasAnswer
     ? state.records
     : putRecord(state.records, fittingRecord);
-  const isAcknowledged = message.incarnation === at.incarnation &&
+  const isAcknowledged = message.incarnation === local.incarnation &&
     message.epoch === state.votingEpoch && message.epoch > state.sealedEpoch;
   const reply: ClaimReply = isAcknowledged
     ? { type: "OutcomeRecorded" }
@@ -290,7 +293,10 @@
   };
 }
 
-/** Merges two records; without an outcome any claim may have had a majority. */
+/**
+ * Merges two records. Without an outcome the claims of both are kept, as any of
+ * them may have had a majority.
+ */
 function mergeRecord(records: RecordMap, other: ClaimRecord): RecordMap {
   const own = findRecord(records, other.key);
   if (own === undefined) {
@@ -303,7 +309,7 @@
     ? [
       ...own.claims,
       ...other.claims.filter((claim) =>
-        own.claims.every((one) => one.attemptId !== claim.attemptId)
+        own.claims.every((ownClaim) => ownClaim.attemptId !== claim.attemptId)
       ),
     ]
     : [];
--- a/src/engine/claims/common/holder_set_reducer.ts
+++ b/src/engine/claims/common/holder_set_reducer.ts
@@ -85,8 +85,8 @@
   members: readonly Holder[],
   required: readonly Holder[],
 ): boolean {
-  return required.every((one) =>
-    members.some((member) => isSameInstance(member, one))
+  return required.every((holder) =>
+    members.some((member) => isSameInstance(member, holder))
   );
 }
 
--- a/src/engine/claims/common/node_claims.ts
+++ b/src/engine/claims/common/node_claims.ts
@@ -101,13 +101,13 @@
 export function answerClaimMessage(
   claims: NodeClaims,
   message: ClaimMessage,
-  at: { readonly incarnation: number; readonly nowMs: number },
+  local: { readonly incarnation: number; readonly nowMs: number },
 ): { readonly claims: NodeClaims; readonly reply: ClaimReply } {
   if (message.type === "CheckClaim") {
     const phase = checkClaim(claims.claimant, message.attemptId);
     return { claims, reply: { type: "ClaimChecked", phase } };
   }
-  const { state, reply } = answerHolder(claims.holder, message, at);
+  const { state, reply } = answerHolder(claims.holder, message, local);
   return { claims: { ...claims, holder: state }, reply };
 }
 
--- a/src/engine/claims/common/outcome_steps.ts
+++ b/src/engine/claims/common/outcome_steps.ts
@@ -18,7 +18,7 @@
 
 type ClaimStep = Reduction<ClaimState, ClaimEffect>;
 
-/** Sends after which the node no longer tries to record an outcome. */
+/** Times that an outcome is sent before the node stops trying to record it. */
 const MAX_SENDS = 30;
 
 /** Records that an attempt ran; `answer` is undefined if too large to store. */
@@ -81,8 +81,8 @@
   state: ClaimState,
   active: HolderSet | undefined,
 ): ClaimStep {
-  const unsettled = [...state.coordinations.values()].filter((one) =>
-    one.recording !== undefined
+  const unsettled = [...state.coordinations.values()].filter((coordination) =>
+    coordination.recording !== undefined
   );
   return unsettled.reduce<ClaimStep>(
     (step, coordination) =>
--- a/src/engine/control/common/consensus_step.ts
+++ b/src/engine/control/common/consensus_step.ts
@@ -143,21 +143,21 @@
 }
 
 function listEvents(
-  before: ReplicationState,
+  previous: ReplicationState,
   state: ReplicationState,
   command: ReplicatedCommand,
 ): readonly TimelineEvent[] {
   if (command.type === "TableEdited") {
     const { editId, operator } = command.edit;
     const { version } = state.tableState.table;
-    return version > before.tableState.table.version
+    return version > previous.tableState.table.version
       ? [{ type: "EditAccepted", version, editId, operator }]
       : [];
   }
   const { service } = command;
   const { epoch, members } = state.holders.get(service)?.active ?? {};
   return epoch === undefined ||
-      epoch === before.holders.get(service)?.active.epoch
+      epoch === previous.holders.get(service)?.active.epoch
     ? []
     : [{
       type: "HoldersChanged",
--- a/src/engine/control/common/presence_step.ts
+++ b/src/engine/control/common/presence_step.ts
@@ -125,7 +125,7 @@
 }
 
 function createNotifications(
-  before: ControlState,
+  previous: ControlState,
   state: ControlState,
   effect: MembershipEffect,
 ): readonly ControlEffect[] {
@@ -135,7 +135,7 @@
       const { nodeId, service } = announcement;
       const message: ControlMessage = { type: "MemberUpdate", announcement };
       const sends = sendToSubscribers(state, service, message);
-      return before.membership.members.has(nodeId) ? sends : [
+      return previous.membership.members.has(nodeId) ? sends : [
         { type: "RecordEvent", event: { type: "NodeJoined", nodeId } },
         ...sends,
       ];
--- a/src/engine/control/common/replica_reducer.ts
+++ b/src/engine/control/common/replica_reducer.ts
@@ -68,8 +68,8 @@
   event: ReplicaEvent,
   nowMs: number,
 ): ReplicaStep {
-  const expired = publish(state, nowMs);
-  const stepped = chainReduction(expired, (s) => step(s, event, nowMs));
+  const published = publish(state, nowMs);
+  const stepped = chainReduction(published, (s) => step(s, event, nowMs));
   return chainReduction(stepped, (s) => publish(s, nowMs));
 }
 
--- a/src/engine/control/common/replication_state.ts
+++ b/src/engine/control/common/replication_state.ts
@@ -33,7 +33,7 @@
   readonly discovery?: Discovery;
 }
 
-/** Terms of the replica set if replicas discover each other. */
+/** Settings of the replica set if replicas discover each other. */
 export interface Discovery {
   /** Maximum number of voters; learners are promoted up to it. */
   readonly maxVoters: number;
--- a/src/engine/control/common/routes_proof.ts
+++ b/src/engine/control/common/routes_proof.ts
@@ -63,7 +63,8 @@
 }
 
 /**
- * Updates the rounds, and answers the requests received before a confirmed one.
+ * Updates the rounds, and answers the requests received before the last
+ * confirmed round started.
  */
 export function updateReadRounds(
   state: ControlState,
@@ -77,8 +78,8 @@
       round <= readRounds.confirmed;
     const newest = link.proofRequests.findLast(isAnswered);
     if (newest !== undefined) {
-      const proofRequests = link.proofRequests.filter((one) =>
-        !isAnswered(one)
+      const proofRequests = link.proofRequests.filter((request) =>
+        !isAnswered(request)
       );
       links ??= new Map(state.links);
       links.set(linkId, { ...link, proofRequests });
--- a/src/engine/control/common/table_push.ts
+++ b/src/engine/control/common/table_push.ts
@@ -27,9 +27,9 @@
  */
 export function retainTable(
   state: ControlState,
-  before: Table,
+  previous: Table,
 ): ControlState {
-  const recentTables = [...state.recentTables, before]
+  const recentTables = [...state.recentTables, previous]
     .slice(-MAX_RECENT_TABLES);
   return { ...state, recentTables };
 }
--- a/src/engine/control/common/usage_step.ts
+++ b/src/engine/control/common/usage_step.ts
@@ -185,7 +185,9 @@
 ): readonly WorkspaceUsage[] {
   const { workspaces = [] } = state.tableState.document.table;
   const limits = new Map(
-    workspaces.map((one) => [one.name, computeWindowLimit(one, terms)]),
+    workspaces.map((
+      workspace,
+    ) => [workspace.name, computeWindowLimit(workspace, terms)]),
   );
   const replicaCount = 1 + state.usageDigests.size;
   return usages.filter(({ name, asked, letIn }) => {
--- a/src/engine/membership/common/presence.ts
+++ b/src/engine/membership/common/presence.ts
@@ -168,9 +168,9 @@
 }
 
 /**
- * Removes the nodes of silent replicas that are linked to no other replica. A
- * replica without contact to a majority may itself be partitioned: it removes
- * none.
+ * Removes the nodes of silent replicas, except those that are linked to another
+ * replica by now. A replica without contact to a majority may itself be
+ * partitioned: it removes none.
  */
 export function expireOwners(
   state: MembershipState,
@@ -286,10 +286,10 @@
   if (name === state.self || (owner?.beat ?? -1) >= beat) {
     return createReduction(state);
   }
-  const known = owner?.sequence ?? UNKNOWN_SEQUENCE;
+  const knownSequence = owner?.sequence ?? UNKNOWN_SEQUENCE;
   const owners = setEntry(state.owners, name, {
     beat,
-    sequence: known,
+    sequence: knownSequence,
     lastReceivedAtMs: nowMs,
     tableVersion,
     behind: new Map(digest.behind),
@@ -297,7 +297,7 @@
   const next = { ...state, owners };
   return createReduction(
     next,
-    known < sequence ? [createFetchEffect(name, channel)] : [],
+    knownSequence < sequence ? [createFetchEffect(name, channel)] : [],
   );
 }
 
--- a/src/engine/routing/common/ejection.ts
+++ b/src/engine/routing/common/ejection.ts
@@ -15,7 +15,7 @@
 const MAX_PROBE_LATENCY_RATIO = 2;
 /** Latency samples required before an ejection for high latency. */
 const MIN_SAMPLE_COUNT = 3;
-/** At most one in this many may be ejected, but always one of two. */
+/** One backend server in this many may be ejected; of two, one may be. */
 const EJECTED_DIVISOR = 3;
 
 /** Computes how many of `count` backend servers may be ejected at once. */
--- a/src/engine/routing/common/routing_reducer.ts
+++ b/src/engine/routing/common/routing_reducer.ts
@@ -83,9 +83,9 @@
   if (!isNewerAnnouncement(announcement, current)) {
     return state;
   }
-  const before = service ?? EMPTY_SERVICE_VIEW;
-  const members = setEntry(before.members, announcement.nodeId, announcement);
-  const next = { ...before, members };
+  const previous = service ?? EMPTY_SERVICE_VIEW;
+  const members = setEntry(previous.members, announcement.nodeId, announcement);
+  const next = { ...previous, members };
   return refreshSubset(
     state,
     { name: announcement.service, service: next },
@@ -117,13 +117,13 @@
   nowMs: number,
 ): RoutingState {
   const current = state.services.get(listed.service);
-  const before = current ?? EMPTY_SERVICE_VIEW;
+  const previous = current ?? EMPTY_SERVICE_VIEW;
   const members = new Map(listed.members.map((member) => {
-    const known = before.members.get(member.nodeId);
+    const known = previous.members.get(member.nodeId);
     const isNewer = isNewerAnnouncement(member, known);
     return [member.nodeId, isNewer ? member : known!];
   }));
-  const next = { ...before, members };
+  const next = { ...previous, members };
   const isFirstList = current === undefined;
   const change = { name: listed.service, service: next, isFirstList };
   return refreshSubset(state, change, nowMs);
@@ -132,7 +132,8 @@
 /**
  * Chooses the subset and creates views for its new members. The ramp of a new
  * member begins now, whatever its clock; but a member of the first list may
- * have been running for long, so its ramp begins at its incarnation.
+ * have been running for long, so its ramp begins at its incarnation, which
+ * is the wall clock at its start.
  */
 function refreshSubset(
   state: RoutingState,
@@ -173,11 +174,11 @@
   nowMs: number,
 ): RoutingState {
   const { service: name, nodeId } = report;
-  const before = state.services.get(name);
-  if (before === undefined) {
+  const previous = state.services.get(name);
+  if (previous === undefined) {
     return state;
   }
-  const service = updateBaseline(before, report);
+  const service = updateBaseline(previous, report);
   const index = findViewIndex(service, nodeId);
   const recorded = index < 0
     ? service
--- a/src/engine/workspaces/common/key_access.ts
+++ b/src/engine/workspaces/common/key_access.ts
@@ -30,8 +30,9 @@
 /** Options of `KeyAccess`. */
 export interface KeyAccessOptions {
   /**
-   * How long keys are served after the request of the last proof that the
-   * configuration is the newest one, in milliseconds; undefined for no limit.
+   * Time in milliseconds for which keys are served; it starts when the last
+   * received proof that the configuration is the newest one was requested.
+   * Undefined for no limit.
    */
   readonly leaseMs: number | undefined;
   readonly readClocks: () => ClockReading;
--- a/src/engine/workspaces/common/key_lease.ts
+++ b/src/engine/workspaces/common/key_lease.ts
@@ -63,9 +63,9 @@
  * `MAX_SLEW_MS` between two readings.
  */
 export function observeClocks(lease: KeyLease, now: ClockReading): KeyLease {
-  const before = lease.observedAt ?? now;
-  const divergenceMs = (now.wallMs - before.wallMs) -
-    (now.steadyMs - before.steadyMs);
+  const previous = lease.observedAt ?? now;
+  const divergenceMs = (now.wallMs - previous.wallMs) -
+    (now.steadyMs - previous.steadyMs);
   const observed = { ...lease, observedAt: now };
   return Math.abs(divergenceMs) <= MAX_SLEW_MS
     ? observed
--- a/src/engine/workspaces/common/quota_gate.ts
+++ b/src/engine/workspaces/common/quota_gate.ts
@@ -34,9 +34,9 @@
 /** Minimum time after which a refused caller is asked to retry. */
 const MIN_RETRY_MS = 500;
 /**
- * Until the shares are received, all entry nodes together admit this part of
- * the allowance beyond the limit at once, and the limit itself at its rate over
- * time: before a restart they may have admitted a whole window of requests.
+ * Part of the allowance beyond the limit that all entry nodes together admit at
+ * once before they receive shares. The limit itself they admit only at its rate
+ * over time: before a restart they may have admitted a whole window of requests.
  */
 const INITIAL_ALLOWANCE_RATIO = 0.6;
 
@@ -110,11 +110,11 @@
     }
     const { name } = workspace;
     const share = this.#getShare(name);
-    const isLetIn = share === undefined
+    const isAdmitted = share === undefined
       ? this.#spendInitialCredit(name, limit, terms)
       : share === 1 || this.#spendCredit(name, share);
-    this.#window.record(name, isLetIn);
-    if (isLetIn) {
+    this.#window.record(name, isAdmitted);
+    if (isAdmitted) {
       return { type: "LetIn" };
     }
     if (share === undefined) {
@@ -161,13 +161,13 @@
 
   /**
    * Admits the given share of the requests at even intervals. The initial
-   * credit is random, so that entry nodes don't admit in step.
+   * credit is random, so that entry nodes don't all admit at the same time.
    */
   #spendCredit(name: string, share: number): boolean {
     const credit = (this.#credits.get(name) ?? this.#options.draw()) + share;
-    const isLetIn = credit >= 1;
-    this.#credits.set(name, isLetIn ? credit - 1 : credit);
-    return isLetIn;
+    const isAdmitted = credit >= 1;
+    this.#credits.set(name, isAdmitted ? credit - 1 : credit);
+    return isAdmitted;
   }
 
   /**
@@ -178,17 +178,18 @@
     const initial = this.#initialCredits.get(name) ??
       this.#createInitialCredit(limit, terms);
     this.#initialCredits.set(name, initial);
-    const isLetIn = initial.credit >= 1;
-    initial.credit -= isLetIn ? 1 : 0;
-    return isLetIn;
+    const isAdmitted = initial.credit >= 1;
+    initial.credit -= isAdmitted ? 1 : 0;
+    return isAdmitted;
   }
 
   #createInitialCredit(limit: number, terms: QuotaTerms): InitialCredit {
     const allowance = terms.overage * limit + terms.slack;
-    const atOnce = INITIAL_ALLOWANCE_RATIO * allowance / this.#entryCount;
+    const immediateCredit = INITIAL_ALLOWANCE_RATIO * allowance /
+      this.#entryCount;
     const reportsPerWindow = terms.windowMs / USAGE_INTERVAL_MS;
     return {
-      credit: Math.floor(atOnce + this.#options.draw()),
+      credit: Math.floor(immediateCredit + this.#options.draw()),
       creditPerReport: limit / reportsPerWindow / this.#entryCount,
     };
   }
--- a/src/engine/workspaces/common/usage_window.ts
+++ b/src/engine/workspaces/common/usage_window.ts
@@ -33,11 +33,11 @@
   }
 
   /** Records a request, and whether it was admitted. */
-  record(workspace: string, isLetIn: boolean): void {
+  record(workspace: string, isAdmitted: boolean): void {
     const bucket = this.#getCurrentBucket(workspace);
     bucket.asked += 1;
-    bucket.passed += isLetIn ? 1 : 0;
-    bucket.letIn += isLetIn ? 1 : 0;
+    bucket.passed += isAdmitted ? 1 : 0;
+    bucket.letIn += isAdmitted ? 1 : 0;
   }
 
   /** Records that an admitted request was not run by any backend server. */
