--- a/src/daemon/relay_daemon.ts
+++ b/src/daemon/relay_daemon.ts
@@ -374,8 +374,8 @@
   }
 
   /**
-   * Stops calls to a backend server that no longer accepts connections, until it
-   * announces itself again.
+   * Stops calls to a backend server that no longer accepts connections, until
+   * it announces itself again.
    */
   #handleBackendLoss(): void {
     this.changeBackend(undefined);
--- a/src/engine/call/common/call_events.ts
+++ b/src/engine/call/common/call_events.ts
@@ -214,7 +214,7 @@
   | {
     readonly type: "StartTimer";
     readonly key: TimerKey;
-    /** Wall-clock time in milliseconds. */
+    /** Steady clock in milliseconds. */
     readonly atMs: number;
   }
   | { readonly type: "StopTimer"; readonly key: TimerKey }
--- a/src/engine/call/common/call_level.ts
+++ b/src/engine/call/common/call_level.ts
@@ -15,7 +15,7 @@
 
 /**
  * Kinds of request that the local backend server calls while it serves a kind,
- * each with its expiry on the wall clock in milliseconds.
+ * each with its expiry on the steady clock in milliseconds.
  */
 export type CalleeView = ReadonlyMap<string, ReadonlyMap<string, number>>;
 
--- a/src/engine/call/common/node_reducer.ts
+++ b/src/engine/call/common/node_reducer.ts
@@ -57,7 +57,10 @@
 import { activateCandidate, receiveTable } from "./table_intake.ts";
 import { unsubscribeUnused } from "./subscription_step.ts";
 
-/** Applies an event to a node; `nowMs` is the wall clock in milliseconds. */
+/**
+ * Applies an event to a node. `nowMs` is the steady clock in milliseconds: the
+ * wall clock at the start of the process plus the time elapsed since.
+ */
 export function reduceNode(
   state: NodeState,
   event: NodeEvent,
--- a/src/engine/call/common/node_state.ts
+++ b/src/engine/call/common/node_state.ts
@@ -36,13 +36,13 @@
   readonly incarnation: number;
   /** `host:port` of that node's ingress. */
   readonly address: string;
-  /** When it was sent, on the wall clock in milliseconds. */
+  /** When it was sent, on the steady clock in milliseconds. */
   readonly startedAtMs: number;
   /** Retry tokens that were handed to it. */
   readonly tokens: number;
   /**
    * When it was last known to be in progress, because it was sent or its
-   * receiver confirmed it; wall clock in milliseconds.
+   * receiver confirmed it; steady clock in milliseconds.
    */
   readonly heardAtMs: number;
   /** Whether a status request for it is pending. */
@@ -65,7 +65,7 @@
   readonly context: CallContext;
   /** Id of the served attempt that made this call, where known. */
   readonly parentId: string | undefined;
-  /** Wall clock in milliseconds. */
+  /** Steady clock in milliseconds. */
   readonly deadlineMs: number;
   /** Retry tokens that its attempts and the calls below it may spend. */
   readonly pool: TokenPool;
@@ -98,7 +98,7 @@
   readonly origin: "ingress" | "local";
   readonly row: TableRow;
   readonly context: CallContext;
-  /** Wall clock in milliseconds. */
+  /** Steady clock in milliseconds. */
   readonly deadlineMs: number;
   /** Retry tokens for the calls that the backend server makes. */
   readonly pool: TokenPool;
@@ -114,8 +114,8 @@
    */
   readonly isDetached?: boolean;
   /**
-   * Since when it has open calls of its own, on the wall clock in milliseconds;
-   * undefined while it has none.
+   * Since when it has open calls of its own, on the steady clock in
+   * milliseconds; undefined while it has none.
    */
   readonly downstreamSinceMs?: number | undefined;
   /** Total time of earlier such intervals, in milliseconds. */
@@ -125,7 +125,7 @@
 /** A table that is not in force yet; see `receiveTable`. */
 export interface TableCandidate {
   readonly table: Table;
-  /** When the first candidate arrived, on the wall clock in milliseconds. */
+  /** When the first candidate arrived, on the steady clock in milliseconds. */
   readonly sinceMs: number;
 }
 
@@ -147,7 +147,7 @@
   /** Served attempts by attempt id. */
   readonly served: ReadonlyMap<string, ServedCall>;
   /**
-   * When the local backend server last sent the head of an answer, on the wall
+   * When the local backend server last sent the head of an answer, on the steady
    * clock in milliseconds; 0 before the first one.
    */
   readonly backendHeardMs: number;
--- a/src/engine/call/common/quarantine_ledger.ts
+++ b/src/engine/call/common/quarantine_ledger.ts
@@ -52,7 +52,7 @@
 const CHECK_INTERVAL_MS = 3_000;
 /** Prefix of the request ids of verdicts; the node id follows. */
 const VERDICT_PREFIX = `${QUARANTINE_PREFIX}verdict/`;
-/** Prefix of the request ids of checks of suspects; the owner's address follows. */
+/** Prefix of the request ids of checks; the owner's address follows. */
 export const CHECK_PREFIX = `${QUARANTINE_PREFIX}check/`;
 
 /** Replies to a quarantine message of another node, or of this one. */
--- a/src/engine/call/common/served_types.ts
+++ b/src/engine/call/common/served_types.ts
@@ -30,7 +30,7 @@
 
 /** Dependencies of the steps of served attempts, besides the state. */
 export interface ServedDeps {
-  /** Wall clock in milliseconds. */
+  /** Steady clock in milliseconds. */
   readonly nowMs: number;
   readonly settleLocal: SettleLocal;
   readonly cancelChildren: CancelChildren;
--- a/src/engine/claims/common/claim_types.ts
+++ b/src/engine/claims/common/claim_types.ts
@@ -42,7 +42,7 @@
   readonly claims: readonly Claim[];
   /** Set once an attempt has run and its answer is known. */
   readonly outcome: RunOutcome | undefined;
-  /** Wall clock of the holder, in milliseconds. */
+  /** Steady clock of the holder, in milliseconds. */
   readonly expiresAtMs: number;
 }
 
--- a/src/engine/control/common/usage_step.ts
+++ b/src/engine/control/common/usage_step.ts
@@ -185,9 +185,7 @@
 ): readonly WorkspaceUsage[] {
   const { workspaces = [] } = state.tableState.document.table;
   const limits = new Map(
-    workspaces.map((
-      workspace,
-    ) => [workspace.name, computeWindowLimit(workspace, terms)]),
+    workspaces.map((item) => [item.name, computeWindowLimit(item, terms)]),
   );
   const replicaCount = 1 + state.usageDigests.size;
   return usages.filter(({ name, asked, letIn }) => {
--- a/src/engine/routing/common/backend_view.ts
+++ b/src/engine/routing/common/backend_view.ts
@@ -3,7 +3,7 @@
 
 /**
  * What this node has measured of one backend server. Averages are
- * exponentially weighted; times are wall clock in milliseconds.
+ * exponentially weighted; times are steady clock in milliseconds.
  */
 export interface BackendView {
   readonly announcement: Announcement;
@@ -41,7 +41,7 @@
 
 /** A period in which a backend server gets no attempts except probes. */
 export interface Ejection {
-  /** Earliest time of a probe, wall clock in milliseconds. */
+  /** Earliest time of a probe, steady clock in milliseconds. */
   readonly untilMs: number;
 }
 
--- a/src/engine/routing/common/subset.ts
+++ b/src/engine/routing/common/subset.ts
@@ -9,11 +9,11 @@
 }
 
 /**
- * Members of the own data centre in a subset. Choosing the better of two
- * among eight spreads load nearly as well as among all, and one may fail, one drain and one
- * be ejected while enough remain. Each node of a service of M members is called
- * by about 8/M of the callers in its data centre, so the number of its
- * connections stays bounded as the fleet grows.
+ * Members of the own data centre in a subset. Choosing the better of two among
+ * eight spreads load nearly as well as among all, and one may fail, one drain
+ * and one be ejected while enough remain. Each node of a service of M
+ * members is called by about 8/M of the callers in its data centre, so the
+ * number of its connections stays bounded as the fleet grows.
  */
 export const NEAR_SUBSET_SIZE = 8;
 /** Members of other data centres in a subset, used when the near ones fail. */
--- a/src/engine/workspaces/common/quota_gate.ts
+++ b/src/engine/workspaces/common/quota_gate.ts
@@ -36,7 +36,8 @@
 /**
  * Part of the allowance beyond the limit that all entry nodes together admit at
  * once before they receive shares. The limit itself they admit only at its rate
- * over time: before a restart they may have admitted a whole window of requests.
+ * over time: before a restart they may have admitted a whole window of
+ * requests.
  */
 const INITIAL_ALLOWANCE_RATIO = 0.6;
 
