--- a/src/engine/call/common/node_state.ts
+++ b/src/engine/call/common/node_state.ts
@@ -147,8 +147,8 @@
   /** Served attempts by attempt id. */
   readonly served: ReadonlyMap<string, ServedCall>;
   /**
-   * When the local backend server last sent the head of an answer, on the steady
-   * clock in milliseconds; 0 before the first one.
+   * When the local backend server last sent the head of an answer, on the
+   * steady clock in milliseconds; 0 before the first one.
    */
   readonly backendHeardMs: number;
   /** Exchange ids of the open calls of served attempts, by attempt id. */
--- a/src/engine/control/common/workspace_report.ts
+++ b/src/engine/control/common/workspace_report.ts
@@ -20,7 +20,7 @@
   readonly asked: number;
   /** Requests of these that were admitted, without those that were not run. */
   readonly letIn: number;
-  /** Share of its requests that entry nodes were last sent to admit, 0 to 1. */
+  /** Share of its requests to admit, as last sent to entry nodes, 0 to 1. */
   readonly share: number;
 }
 
