--- a/src/engine/storage/node/storage.ts
+++ b/src/engine/storage/node/storage.ts
@@ -226,7 +226,7 @@
 
   async [Symbol.asyncDispose](): Promise<void> {
     await this.#queue;
-    this.#stopped ??= { type: "StorageStopped", cause: "storage was closed" };
+    this.#stopped ??= { type: "StorageStopped", cause: "it was closed" };
     await this.#tail.file.close();
   }
 
