--- a/src/engine/admission/common/admission_level.ts
+++ b/src/engine/admission/common/admission_level.ts
@@ -34,7 +34,7 @@
   readonly key: string;
   /** Ratio of the kind's weight to the highest weight of its importance. */
   readonly share: number;
-  /** Wall clock in milliseconds. */
+  /** Steady clock in milliseconds. */
   readonly nowMs: number;
 }
 
--- a/src/engine/admission/common/admission_reducer.ts
+++ b/src/engine/admission/common/admission_reducer.ts
@@ -60,7 +60,7 @@
   };
 }
 
-/** Applies an event at `nowMs`, wall clock in milliseconds. */
+/** Applies an event at `nowMs`, steady clock in milliseconds. */
 export function reduceAdmission(
   state: AdmissionState,
   event: AdmissionEvent,
--- a/src/engine/admission/common/admission_types.ts
+++ b/src/engine/admission/common/admission_types.ts
@@ -18,14 +18,14 @@
   readonly admissionHash: number;
   /** Number of calls above it in the call tree; 0 for a root request. */
   readonly depth: number;
-  /** Wall clock in milliseconds. */
+  /** Steady clock in milliseconds. */
   readonly deadlineMs: number;
 }
 
 /** A request that the backend server is running. */
 export interface RunningRequest {
   readonly kind: string;
-  /** Wall clock in milliseconds. */
+  /** Steady clock in milliseconds. */
   readonly startedAtMs: number;
   /** Whether the head of the answer was received. */
   readonly isAnswered: boolean;
@@ -33,15 +33,15 @@
 
 /** A request that waits for free capacity. */
 export interface QueuedRequest extends AdmissionRequest {
-  /** Wall clock in milliseconds. */
+  /** Steady clock in milliseconds. */
   readonly queuedAtMs: number;
 }
 
 /** State of one kind of request. */
 export interface KindState {
-  /** When a request of the kind was last accepted, wall clock in ms. */
+  /** When a request of the kind was last accepted, steady clock in ms. */
   readonly usedAtMs: number;
-  /** Theoretical arrival time of the rate limit (GCRA), wall clock in ms. */
+  /** Theoretical arrival time of the rate limit (GCRA), steady clock in ms. */
   readonly theoreticalMs: number;
   /** Finish tag of the fair queue, in virtual milliseconds. */
   readonly finishTag: number;
@@ -61,7 +61,7 @@
   /** Virtual time of the fair queue: start tag of the request last started. */
   readonly virtualMs: number;
   /**
-   * Start of the interval in which the queue has never been empty, wall clock
+   * Start of the interval in which the queue has never been empty, steady clock
    * in milliseconds; undefined while it is empty.
    */
   readonly busySinceMs: number | undefined;
--- a/src/engine/admission/common/concurrency_limit.ts
+++ b/src/engine/admission/common/concurrency_limit.ts
@@ -12,7 +12,7 @@
   /** Sum of the logarithms of the recorded slowdowns. */
   readonly slowdownSum: number;
   readonly slowdownCount: number;
-  /** Wall clock in milliseconds. */
+  /** Steady clock in milliseconds. */
   readonly updatedAtMs: number;
 }
 
--- a/src/engine/admission/common/level_view.ts
+++ b/src/engine/admission/common/level_view.ts
@@ -10,7 +10,7 @@
 /** A level reported by the node of a backend server. */
 export interface CachedLevel {
   readonly level: AdmissionLevel;
-  /** Wall clock in milliseconds. */
+  /** Steady clock in milliseconds. */
   readonly expiresAtMs: number;
 }
 
--- a/src/engine/admission/common/ramp.ts
+++ b/src/engine/admission/common/ramp.ts
@@ -2,7 +2,7 @@
 
 /** State of the ramp. */
 export interface Ramp {
-  /** Wall clock in milliseconds; undefined before the first event. */
+  /** Steady clock in milliseconds; undefined before the first event. */
   readonly startedAtMs: number | undefined;
   /** Number of consecutive failed runs. */
   readonly consecutiveFailures: number;
--- a/src/engine/admission/common/service_time.ts
+++ b/src/engine/admission/common/service_time.ts
@@ -12,7 +12,7 @@
   /** Sum of the logarithms since the last update of the baseline. */
   readonly sampleSum: number;
   readonly sampleCount: number;
-  /** When the baseline was last updated, wall clock in milliseconds. */
+  /** When the baseline was last updated, steady clock in milliseconds. */
   readonly updatedAtMs: number;
 }
 
--- a/src/engine/link/common/subscriptions.ts
+++ b/src/engine/link/common/subscriptions.ts
@@ -1,7 +1,7 @@
 /** Services that a node calls, and whose members it subscribes to. */
 import { setEntry } from "../../../base/common/maps.ts";
 
-/** Time of the last recorded call by service: wall clock in milliseconds. */
+/** Time of the last recorded call by service: steady clock in milliseconds. */
 export type Subscriptions = ReadonlyMap<string, number>;
 
 /** Time without a call after which a service is unsubscribed. */
--- a/src/engine/quarantine/common/known_suspects.ts
+++ b/src/engine/quarantine/common/known_suspects.ts
@@ -6,13 +6,13 @@
 
 /** State of one suspect, as last reported to the node. */
 export interface KnownSuspect {
-  /** End of its quarantine, wall clock in ms; 0 if it is not in quarantine. */
+  /** End of its quarantine, steady clock in ms; 0 if it is not in quarantine. */
   readonly quarantinedUntilMs: number;
-  /** When the entry expires, wall clock in milliseconds. */
+  /** When the entry expires, steady clock in milliseconds. */
   readonly expiresAtMs: number;
 }
 
-/** Times at which suspects were cleared, wall clock in ms; oldest first. */
+/** Times at which suspects were cleared, steady clock in ms; oldest first. */
 export type ClearedSuspects = ReadonlyMap<Fingerprint, number>;
 
 /** Known suspects in the order in which they were last reported. */
--- a/src/engine/quarantine/common/node_quarantine.ts
+++ b/src/engine/quarantine/common/node_quarantine.ts
@@ -21,9 +21,9 @@
     | "ending";
   /** Whether the run ended with a complete answer. */
   readonly isWhole: boolean;
-  /** Start of this phase, wall clock in milliseconds. */
+  /** Start of this phase, steady clock in milliseconds. */
   readonly phaseStartedAtMs: number;
-  /** When the owner was last notified, wall clock in milliseconds. */
+  /** When the owner was last notified, steady clock in milliseconds. */
   readonly notifiedAtMs: number;
 }
 
@@ -50,7 +50,7 @@
 /** A run that was abandoned here; the backend server may still execute it. */
 export interface AbandonedRun {
   readonly fingerprint: Fingerprint;
-  /** When it no longer counts as running, wall clock in milliseconds. */
+  /** When it no longer counts as running, steady clock in milliseconds. */
   readonly untilMs: number;
 }
 
@@ -60,7 +60,7 @@
   readonly ledger: QuarantineState;
   readonly known: KnownSuspects;
   readonly cleared: ClearedSuspects;
-  /** When owners were last queried about suspects, wall clock in ms. */
+  /** When owners were last queried about suspects, steady clock in ms. */
   readonly checkedAtMs: number;
   /** By attempt id. */
   readonly leases: ReadonlyMap<string, LocalLease>;
--- a/src/engine/quarantine/common/quarantine_reducer.ts
+++ b/src/engine/quarantine/common/quarantine_reducer.ts
@@ -14,7 +14,7 @@
 export interface RunLease {
   readonly nodeId: string;
   readonly leaseId: number;
-  /** Wall clock in milliseconds. */
+  /** Steady clock in milliseconds. */
   readonly endsAtMs: number;
 }
 
@@ -22,11 +22,11 @@
 export interface Suspect {
   /** Undefined while no node may run it. */
   readonly lease: RunLease | undefined;
-  /** End of the quarantine, wall clock in ms; 0 before the second crash. */
+  /** End of the quarantine, steady clock in ms; 0 before the second crash. */
   readonly quarantinedUntilMs: number;
   /** Number of quarantines; each one doubles the length of the next. */
   readonly quarantineCount: number;
-  /** When it was last suspected, quarantined or leased, wall clock in ms. */
+  /** When it was last suspected, quarantined or leased, steady clock in ms. */
   readonly seenAtMs: number;
 }
 
@@ -117,7 +117,7 @@
   nextLeaseId: 1,
 };
 
-/** Applies an event; `nowMs` is the wall clock in milliseconds. */
+/** Applies an event; `nowMs` is the steady clock in milliseconds. */
 export function reduceQuarantine(
   state: QuarantineState,
   event: QuarantineEvent,
--- a/src/engine/retry/common/resend_budget.ts
+++ b/src/engine/retry/common/resend_budget.ts
@@ -31,7 +31,7 @@
  * hash, so that a step copies only one bucket.
  */
 interface Generation {
-  /** Wall clock in milliseconds. */
+  /** Steady clock in milliseconds. */
   readonly startedAtMs: number;
   readonly ids: readonly ReadonlySet<string>[];
   readonly idCount: number;
--- a/src/engine/retry/common/retry_budget.ts
+++ b/src/engine/retry/common/retry_budget.ts
@@ -4,7 +4,7 @@
 
 /** Attempts sent in one second. */
 interface BudgetSlice {
-  /** Wall clock in whole seconds. */
+  /** Steady clock in whole seconds. */
   readonly second: number;
   readonly firsts: number;
   readonly retries: number;
--- a/src/engine/trace/common/trace_format.ts
+++ b/src/engine/trace/common/trace_format.ts
@@ -38,7 +38,7 @@
 
 /** One event, as passed to the event loop's reducer. */
 export interface TraceEvent<E = NodeEvent | ReplicaEvent> {
-  /** Wall clock in milliseconds. */
+  /** Steady clock in milliseconds. */
   readonly atMs: number;
   readonly event: E;
 }
